--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -16,7 +16,7 @@
 type policy struct {
 	name  string
 	route func(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool)
-	admit func(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Verdict
+	admit func(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision
 	place func(s *simulation)
 }
 
@@ -53,9 +53,9 @@
 }
 
 // admitOwn decides as the relayer does, with shares from the rates that the entries exchanged.
-func admitOwn(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Verdict {
+func admitOwn(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision {
 	rate, share := s.share(e, a.team)
-	return limiter.Admit(limiter.Load{Predicted: plan.Predicted, Late: plan.Late, Promised: promisedWait, TeamRate: rate, TeamShare: share})
+	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.Late, Promised: promisedWait, TeamRate: rate, TeamShare: share})
 }
 
 func (s *simulation) share(e *entry, team identifier.TeamID) (rate, share float64) {
@@ -68,10 +68,10 @@
 		if t.id == team {
 			own = len(demands)
 		}
-		r := s.rates[limiter.Subject{Team: t.id, Model: model}]
+		r := s.rates[limiter.RateKey{Team: t.id, Model: model}]
 		demands = append(demands, limiter.Demand{Wanted: limiter.Cost(r, prefill, decode), Weight: t.weight})
 	}
-	limiter.Share(limiter.Scarce(demands), demands)
+	limiter.Share(limiter.OverloadCapacity(demands), demands)
 	return demands[own].Wanted, demands[own].Allowed
 }
 
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -36,7 +36,7 @@
 	engines  []*engine
 	targets  []*recorder.Target
 	entries  []*entry
-	rates    map[limiter.Subject]limiter.Rate
+	rates    map[limiter.RateKey]limiter.Rate
 	mu       sync.Mutex
 	outcome  outcome
 	roles    map[identifier.TargetID]recorder.Role
@@ -177,7 +177,7 @@
 	ticker := time.NewTicker(gossipLag)
 	defer ticker.Stop()
 	for {
-		total := map[limiter.Subject]limiter.Rate{}
+		total := map[limiter.RateKey]limiter.Rate{}
 		for _, e := range s.entries {
 			for subject, rate := range e.meter.Rates() {
 				t := total[subject]
@@ -217,7 +217,7 @@
 			}
 		}
 		if s.attempt(e, a, j, plan) {
-			e.meter.Finish(model, identifier.Tokens(a.output))
+			e.meter.RecordAnswerLength(model, identifier.Tokens(a.output))
 			s.judge(a, j, began)
 			return
 		}
@@ -227,11 +227,11 @@
 }
 
 // refuse counts a refusal, and looks after the time that was told whether the request would get in then.
-func (s *simulation) refuse(e *entry, a arrival, plan tracker.Plan, v limiter.Verdict) {
+func (s *simulation) refuse(e *entry, a arrival, plan tracker.Plan, v limiter.Decision) {
 	e.tracker.Release(plan)
-	e.meter.Refuse(model, identifier.Tokens(a.prompt)-plan.Cached)
+	e.meter.AddRefused(model, identifier.Tokens(a.prompt)-plan.Cached)
 	s.count(func(o *outcome) { o.refused++ })
-	time.Sleep(v.Return)
+	time.Sleep(v.RetryAfter)
 	again, ok := s.policy.route(s, e, a, &job{}, nil)
 	if !ok {
 		return
@@ -279,10 +279,10 @@
 			late, total = 0, 0
 		}
 		if first {
-			e.meter.Add(limiter.Subject{Team: a.team, Model: model}, uncached, 0)
+			e.meter.Add(limiter.RateKey{Team: a.team, Model: model}, uncached, 0)
 			first = false
 		}
-		e.meter.Add(limiter.Subject{Team: a.team, Model: model}, 0, 1)
+		e.meter.Add(limiter.RateKey{Team: a.team, Model: model}, 0, 1)
 	}
 	s.engine(plan.Answer.ID).submit(j)
 	ok := <-j.done
--- a/internal/limiter/admission.go
+++ b/internal/limiter/admission.go
@@ -12,36 +12,36 @@
 	lateHopeless  = 0.10
 )
 
-// Load is what an admission decision depends on.
-type Load struct {
+// AdmissionInput is what an admission decision depends on.
+type AdmissionInput struct {
 	// Predicted is the time to first token at the best target.
 	Predicted time.Duration
 	// Promised is the promised time to first token.
 	Promised time.Duration
-	// Late is the share of recent tokens at that target that came later than promised.
-	Late float64
+	// LateShare is the share of recent tokens at that target that came later than promised.
+	LateShare float64
 	// TeamRate and TeamShare are the team's recent cost and its fair share of the capacity in use.
 	TeamRate  float64
 	TeamShare float64
 }
 
-// Verdict tells whether a request is admitted and, where it is not, when to come back.
-type Verdict struct {
+// Decision tells whether a request is admitted and, where it is not, when to come back.
+type Decision struct {
 	Admitted bool
 	Reason   string
-	Return   time.Duration
+	RetryAfter   time.Duration
 }
 
 // Admit refuses what cannot be served within the promise, and under overload what exceeds the team's share.
-func Admit(l Load) Verdict {
+func Admit(l AdmissionInput) Decision {
 	pressure := float64(l.Predicted) / float64(max(l.Promised, time.Millisecond))
-	if pressure > hopeless || l.Late > lateHopeless {
-		return Verdict{Reason: "PromiseOutOfReach", Return: comeBack(l.Predicted - l.Promised)}
+	if pressure > hopeless || l.LateShare > lateHopeless {
+		return Decision{Reason: "PromiseOutOfReach", RetryAfter: comeBack(l.Predicted - l.Promised)}
 	}
-	if (pressure > overload || l.Late > lateOverload) && l.TeamRate > l.TeamShare*fairSlack {
-		return Verdict{Reason: "OverShare", Return: comeBack(l.Predicted)}
+	if (pressure > overload || l.LateShare > lateOverload) && l.TeamRate > l.TeamShare*fairSlack {
+		return Decision{Reason: "OverShare", RetryAfter: comeBack(l.Predicted)}
 	}
-	return Verdict{Admitted: true, Reason: "Admitted"}
+	return Decision{Admitted: true, Reason: "Admitted"}
 }
 
 func comeBack(wait time.Duration) time.Duration {
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -66,20 +66,20 @@
 
 func TestAdmit(t *testing.T) {
 	for name, tc := range map[string]struct {
-		load   limiter.Load
+		load   limiter.AdmissionInput
 		reason string
 	}{
-		"idle":                        {limiter.Load{Predicted: 100 * time.Millisecond}, "Admitted"},
-		"overload, within the share":  {limiter.Load{Predicted: 1200 * time.Millisecond, TeamRate: 0.1, TeamShare: 0.1}, "Admitted"},
-		"overload, beyond the share":  {limiter.Load{Predicted: 1200 * time.Millisecond, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
-		"late tokens, over its share": {limiter.Load{Late: 0.08, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
-		"out of reach":                {limiter.Load{Predicted: 5 * time.Second}, "PromiseOutOfReach"},
-		"all tokens late":             {limiter.Load{Late: 0.5}, "PromiseOutOfReach"},
+		"idle":                        {limiter.AdmissionInput{Predicted: 100 * time.Millisecond}, "Admitted"},
+		"overload, within the share":  {limiter.AdmissionInput{Predicted: 1200 * time.Millisecond, TeamRate: 0.1, TeamShare: 0.1}, "Admitted"},
+		"overload, beyond the share":  {limiter.AdmissionInput{Predicted: 1200 * time.Millisecond, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
+		"late tokens, over its share": {limiter.AdmissionInput{LateShare: 0.08, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
+		"out of reach":                {limiter.AdmissionInput{Predicted: 5 * time.Second}, "PromiseOutOfReach"},
+		"all tokens late":             {limiter.AdmissionInput{LateShare: 0.5}, "PromiseOutOfReach"},
 	} {
 		tc.load.Promised = 1600 * time.Millisecond
 		v := limiter.Admit(tc.load)
 		quicktest.Check(t, v.Reason, quicktest.Equals, tc.reason, quicktest.Commentf(name))
-		quicktest.Check(t, v.Admitted || v.Return >= time.Second, quicktest.IsTrue, quicktest.Commentf("%s: no time to come back", name))
+		quicktest.Check(t, v.Admitted || v.RetryAfter >= time.Second, quicktest.IsTrue, quicktest.Commentf("%s: no time to come back", name))
 	}
 }
 
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -13,8 +13,8 @@
 	answerMemory = 32
 )
 
-// Subject is whose use of what a rate describes.
-type Subject struct {
+// RateKey is whose use of what a rate describes.
+type RateKey struct {
 	Team  identifier.TeamID
 	Model identifier.ModelID
 }
@@ -28,7 +28,7 @@
 // Meter keeps exponentially decaying token rates; the zero value is ready.
 type Meter struct {
 	mu      sync.Mutex
-	rates   map[Subject]*decaying
+	rates   map[RateKey]*decaying
 	answers map[identifier.ModelID]float64
 }
 
@@ -38,11 +38,11 @@
 }
 
 // Add counts tokens.
-func (m *Meter) Add(s Subject, prompt, output identifier.Tokens) {
+func (m *Meter) Add(s RateKey, prompt, output identifier.Tokens) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.rates == nil {
-		m.rates = map[Subject]*decaying{}
+		m.rates = map[RateKey]*decaying{}
 	}
 	d := m.rates[s]
 	if d == nil {
@@ -54,8 +54,8 @@
 	d.rate.Output += float64(output) / meterWindow.Seconds()
 }
 
-// Finish notes the length of an answer.
-func (m *Meter) Finish(model identifier.ModelID, output identifier.Tokens) {
+// RecordAnswerLength notes the length of an answer.
+func (m *Meter) RecordAnswerLength(model identifier.ModelID, output identifier.Tokens) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.answers == nil {
@@ -64,20 +64,20 @@
 	m.answers[model] += (float64(output) - m.answers[model]) / answerMemory
 }
 
-// Refuse counts the work of a refused request, with an answer of the usual length, under no team.
-func (m *Meter) Refuse(model identifier.ModelID, prompt identifier.Tokens) {
+// AddRefused counts the work of a refused request, with an answer of the usual length, under no team.
+func (m *Meter) AddRefused(model identifier.ModelID, prompt identifier.Tokens) {
 	m.mu.Lock()
 	output := identifier.Tokens(m.answers[model])
 	m.mu.Unlock()
-	m.Add(Subject{Model: model}, prompt, output)
+	m.Add(RateKey{Model: model}, prompt, output)
 }
 
 // Rates returns the current rates of all subjects that are not idle.
-func (m *Meter) Rates() map[Subject]Rate {
+func (m *Meter) Rates() map[RateKey]Rate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	rates := make(map[Subject]Rate, len(m.rates))
+	rates := make(map[RateKey]Rate, len(m.rates))
 	for s, d := range m.rates {
 		d.decay(now)
 		if d.rate.Prompt+d.rate.Output < 0.01 {
--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Scarce is the capacity to share out under overload: a little less than what all demands use now.
-func Scarce(demands []Demand) float64 {
+// OverloadCapacity is the capacity to share out under overload: a little less than what all demands use now.
+func OverloadCapacity(demands []Demand) float64 {
 	total := 0.0
 	for _, d := range demands {
 		total += d.Wanted
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -206,9 +206,9 @@
 
 func (s *Relayer) admit(h *chat, plan tracker.Plan) *answerer.Refusal {
 	rate, share := s.Share(h.team, identifier.ModelID(h.request.Model))
-	verdict := limiter.Admit(limiter.Load{
+	verdict := limiter.Admit(limiter.AdmissionInput{
 		Predicted: plan.Predicted,
-		Late:      plan.Late,
+		LateShare:      plan.Late,
 		Promised:  time.Duration(h.view.Promise().GetFirstTokenMilliseconds()) * time.Millisecond,
 		TeamRate:  rate,
 		TeamShare: share,
@@ -216,14 +216,14 @@
 	if verdict.Admitted {
 		return nil
 	}
-	s.Meter.Refuse(identifier.ModelID(h.request.Model), h.uncached)
+	s.Meter.AddRefused(identifier.ModelID(h.request.Model), h.uncached)
 	code := answerer.CodeOverloaded
 	if verdict.Reason == "OverShare" {
 		code = answerer.CodeOverShare
 	}
 	return &answerer.Refusal{
 		Status: http.StatusTooManyRequests, Code: code, Run: answerer.NotRun,
-		Message: "the promised latency cannot be met now: " + verdict.Reason, Return: verdict.Return,
+		Message: "the promised latency cannot be met now: " + verdict.Reason, Return: verdict.RetryAfter,
 	}
 }
 
@@ -255,7 +255,7 @@
 // finish accounts the answer before its last bytes go out, so that no finished answer can be lost from the usage.
 func (s *Relayer) finish(h *chat) {
 	s.account(h, 1)
-	s.Meter.Finish(identifier.ModelID(h.request.Model), identifier.Tokens(h.delivered))
+	s.Meter.RecordAnswerLength(identifier.ModelID(h.request.Model), identifier.Tokens(h.delivered))
 	s.settle(h.ctx)
 	if h.request.Stream {
 		chatter.WriteDone(h.w)
@@ -276,7 +276,7 @@
 	if h.accounted == 0 && h.delivered > 0 {
 		u.PromptTokens = int64(h.prompt)
 	}
-	subject := limiter.Subject{Team: h.team, Model: identifier.ModelID(h.request.Model)}
+	subject := limiter.RateKey{Team: h.team, Model: identifier.ModelID(h.request.Model)}
 	computed := identifier.Tokens(0)
 	if u.PromptTokens > 0 {
 		computed = h.uncached
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -13,7 +13,7 @@
 type shares struct {
 	mu   sync.Mutex
 	at   time.Time
-	team map[limiter.Subject]limiter.Demand
+	team map[limiter.RateKey]limiter.Demand
 }
 
 // share returns a team's recent cost on a model's engines over all entries, and its fair share, both
@@ -25,14 +25,14 @@
 		e.shares.team = e.computeShares()
 		e.shares.at = time.Now()
 	}
-	d, ok := e.shares.team[limiter.Subject{Team: team, Model: model}]
+	d, ok := e.shares.team[limiter.RateKey{Team: team, Model: model}]
 	if !ok {
 		return 0, 1
 	}
 	return d.Wanted, d.Allowed
 }
 
-func (e *Entry) computeShares() map[limiter.Subject]limiter.Demand {
+func (e *Entry) computeShares() map[limiter.RateKey]limiter.Demand {
 	byModel := map[identifier.ModelID]map[identifier.TeamID]limiter.Rate{}
 	for subject, rate := range e.allRates() {
 		if subject.Team == "" {
@@ -43,14 +43,14 @@
 		}
 		byModel[subject.Model][subject.Team] = rate
 	}
-	result := map[limiter.Subject]limiter.Demand{}
+	result := map[limiter.RateKey]limiter.Demand{}
 	for model, rates := range byModel {
 		e.shareModel(model, rates, result)
 	}
 	return result
 }
 
-func (e *Entry) shareModel(model identifier.ModelID, rates map[identifier.TeamID]limiter.Rate, result map[limiter.Subject]limiter.Demand) {
+func (e *Entry) shareModel(model identifier.ModelID, rates map[identifier.TeamID]limiter.Rate, result map[limiter.RateKey]limiter.Demand) {
 	prefill, decode := e.tracker.Capacity(tracker.ModelGroup(model))
 	view := e.view.Load()
 	teams := make([]identifier.TeamID, 0, len(rates))
@@ -59,18 +59,18 @@
 		teams = append(teams, team)
 		demands = append(demands, limiter.Demand{Wanted: limiter.Cost(rate, prefill, decode), Weight: view.Weight(team)})
 	}
-	limiter.Share(limiter.Scarce(demands), demands)
+	limiter.Share(limiter.OverloadCapacity(demands), demands)
 	for i, team := range teams {
-		result[limiter.Subject{Team: team, Model: model}] = demands[i]
+		result[limiter.RateKey{Team: team, Model: model}] = demands[i]
 	}
 }
 
 // allRates adds the rates that the other entries sent with their heartbeats to those of this one.
-func (e *Entry) allRates() map[limiter.Subject]limiter.Rate {
+func (e *Entry) allRates() map[limiter.RateKey]limiter.Rate {
 	total := e.meter.Rates()
 	for _, beat := range e.observer.Beats(beatMaximumAge) {
 		for _, r := range beat.Rates {
-			s := limiter.Subject{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
+			s := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
 			t := total[s]
 			t.Prompt += r.PromptTokensPerSecond
 			t.Output += r.OutputTokensPerSecond
