--- a/internal/evaluator/capacity_test.go
+++ b/internal/evaluator/capacity_test.go
@@ -133,13 +133,13 @@
 	for i := range candidates {
 		candidates[i] = router.Candidate{
 			ID: identifier.TargetID(fmt.Sprint(i)), Hash: uint64(i) * 0x9e3779b97f4a7c15, Zone: identifier.ZoneID(fmt.Sprint("zone-", i%6)),
-			Usable: true, PrefillPerSecond: prefillRate, Slots: engineSlots, Batch: engineSlots,
+			Usable: true, PrefillPerSecond: prefillRate, Slots: engineSlots, BatchLimit: engineSlots,
 		}
 	}
-	req := &router.Request{Zone: "zone-1", PromptTokens: 4000, Pieces: []uint64{1, 2}}
+	req := &router.Request{Zone: "zone-1", PromptTokens: 4000, Parts: []uint64{1, 2}}
 	now := time.Now()
 	return micros(func() {
-		req.Draw++
+		req.Random++
 		router.Choose(now, req, candidates)
 	})
 }
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -365,7 +365,7 @@
 
 func request(a arrival, draw uint64, tried map[identifier.TargetID]bool) router.Request {
 	return router.Request{
-		Zone: identifier.ZoneID(fmt.Sprint("zone-", a.entry)), PromptTokens: identifier.Tokens(a.prompt), Pieces: a.pieces, Draw: draw,
+		Zone: identifier.ZoneID(fmt.Sprint("zone-", a.entry)), PromptTokens: identifier.Tokens(a.prompt), Parts: a.pieces, Random: draw,
 		Excluded: func(id identifier.TargetID) bool { return tried[id] },
 	}
 }
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -150,8 +150,8 @@
 	req := router.Request{
 		Zone:         s.Zone,
 		PromptTokens: h.prompt + identifier.Tokens(h.delivered),
-		Pieces:       h.pieces,
-		Draw:         xxhash.Sum64String(string(h.id)) + uint64(attempt),
+		Parts:       h.pieces,
+		Random:         xxhash.Sum64String(string(h.id)) + uint64(attempt),
 		Allowed:      func(id identifier.TargetID) bool { return h.view.MayUse(h.team, id) },
 		Excluded:     func(id identifier.TargetID) bool { return h.tried[id] },
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,18 +47,18 @@
 	Role             recorder.Role
 	Cheap            bool
 	Usable           bool
-	Since            time.Time
+	AddedAt            time.Time
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int64
-	// Batch is the number of answers at which tokens still come in time, as observed.
-	Batch  int64
-	Busy   int64
+	// BatchLimit is the number of answers at which tokens still come in time, as observed.
+	BatchLimit  int64
+	Running   int64
 	FreeAt time.Time
-	// Stretch is how much longer prompts take than the prefill rate says, as observed; zero means 1.
-	Stretch float64
-	// Late is the share of recent tokens that came later than promised after the one before.
-	Late  float64
+	// PrefillSlowdown is how much longer prompts take than the prefill rate says, as observed; zero means 1.
+	PrefillSlowdown float64
+	// LateShare is the share of recent tokens that came later than promised after the one before.
+	LateShare  float64
 	Cache Cache
 }
 
@@ -67,10 +67,10 @@
 	Zone         identifier.ZoneID
 	Role         recorder.Role
 	PromptTokens identifier.Tokens
-	Pieces       []uint64
-	Draw         uint64
-	// Computed tells that the prompt's KV cache is imported from another target.
-	Computed    bool
+	Parts       []uint64
+	Random         uint64
+	// Prefilled tells that the prompt's KV cache is imported from another target.
+	Prefilled    bool
 	RefuseCheap bool
 	Allowed     func(identifier.TargetID) bool
 	Excluded    func(identifier.TargetID) bool
@@ -81,7 +81,7 @@
 	Index     int
 	Predicted time.Duration
 	Cost      time.Duration
-	Late      float64
+	LateShare      float64
 	Cached    identifier.Tokens
 }
 
@@ -89,7 +89,7 @@
 type Choice struct {
 	Best   Score
 	Scores [maximumDraws]Score
-	Drawn  int
+	Compared  int
 }
 
 // Choose returns the best candidate for a request, or false where none is usable.
@@ -101,11 +101,11 @@
 		}
 		c.add(predict(now, req, candidates, i))
 	}
-	return c, c.Drawn > 0
+	return c, c.Compared > 0
 }
 
 func (c *Choice) has(i int) bool {
-	for _, s := range c.Scores[:c.Drawn] {
+	for _, s := range c.Scores[:c.Compared] {
 		if s.Index == i {
 			return true
 		}
@@ -114,9 +114,9 @@
 }
 
 func (c *Choice) add(s Score) {
-	c.Scores[c.Drawn] = s
-	c.Drawn++
-	if c.Drawn == 1 || s.Cost < c.Best.Cost {
+	c.Scores[c.Compared] = s
+	c.Compared++
+	if c.Compared == 1 || s.Cost < c.Best.Cost {
 		c.Best = s
 	}
 }
@@ -125,9 +125,9 @@
 func draw(req *Request, candidates []Candidate) [maximumDraws]int {
 	drawn := [maximumDraws]int{-1, -1, -1, -1, -1, -1}
 	var weights [maximumDraws]uint64
-	affinity := req.Draw
-	if len(req.Pieces) > 0 {
-		affinity = req.Pieces[0]
+	affinity := req.Random
+	if len(req.Parts) > 0 {
+		affinity = req.Parts[0]
 	}
 	nearest := maximumDraws - 1
 	for i := range candidates {
@@ -135,7 +135,7 @@
 			continue
 		}
 		offer(&drawn, &weights, 0, affinityDraws, i, mix(affinity^candidates[i].Hash))
-		random := mix(req.Draw + candidates[i].Hash)
+		random := mix(req.Random + candidates[i].Hash)
 		offer(&drawn, &weights, affinityDraws, randomDraws, i, random)
 		if candidates[i].Zone == req.Zone && random >= weights[nearest] {
 			drawn[nearest], weights[nearest] = i, random
@@ -175,25 +175,25 @@
 	c := &candidates[i]
 	cached := identifier.Tokens(0)
 	if c.Cache != nil {
-		cached = min(req.PromptTokens, identifier.Tokens(c.Cache.Hit(req.Pieces)*pieceTokens))
+		cached = min(req.PromptTokens, identifier.Tokens(c.Cache.Hit(req.Parts)*pieceTokens))
 	}
 	wait := time.Duration(0)
-	if !req.Computed && c.PrefillPerSecond > 0 {
+	if !req.Prefilled && c.PrefillPerSecond > 0 {
 		wait = max(0, c.FreeAt.Sub(now)) + time.Duration(float64(req.PromptTokens-cached)/c.PrefillPerSecond*float64(time.Second))
 	}
-	wait = time.Duration(float64(wait) * max(1, c.Stretch))
+	wait = time.Duration(float64(wait) * max(1, c.PrefillSlowdown))
 	wait += slotWait(c)
 	if c.Zone != req.Zone {
 		wait += zoneHop
 	}
-	cost := wait + crowd(c) + time.Duration(c.Late*float64(lateCost))
-	if req.Role == recorder.Role_Mixed && !req.Computed {
+	cost := wait + crowd(c) + time.Duration(c.LateShare*float64(lateCost))
+	if req.Role == recorder.Role_Mixed && !req.Prefilled {
 		cost += stall(c, req.PromptTokens-cached)
 	}
-	if age := now.Sub(c.Since); age < slowStart {
+	if age := now.Sub(c.AddedAt); age < slowStart {
 		cost += time.Duration(float64(slowStartCost) * (1 - float64(age)/float64(slowStart)))
 	}
-	return Score{Index: i, Predicted: wait, Cost: cost, Late: c.Late, Cached: cached}
+	return Score{Index: i, Predicted: wait, Cost: cost, LateShare: c.LateShare, Cached: cached}
 }
 
 // stall counts the prompt's computation against the answers that run beside it on a mixed engine.
@@ -201,7 +201,7 @@
 	if c.Slots <= 0 || c.PrefillPerSecond <= 0 {
 		return 0
 	}
-	used := min(1, float64(c.Busy)/float64(c.Slots))
+	used := min(1, float64(c.Running)/float64(c.Slots))
 	return time.Duration(stallWeight * used * float64(uncached) / c.PrefillPerSecond * float64(time.Second))
 }
 
@@ -210,16 +210,16 @@
 	if c.Slots <= 0 {
 		return 0
 	}
-	used := min(1, float64(c.Busy)/float64(c.Slots))
+	used := min(1, float64(c.Running)/float64(c.Slots))
 	return time.Duration(used * used * float64(crowding))
 }
 
 // slotWait predicts the wait for a batch slot.
 func slotWait(c *Candidate) time.Duration {
-	if c.Batch <= 0 || c.Busy < c.Batch {
+	if c.BatchLimit <= 0 || c.Running < c.BatchLimit {
 		return 0
 	}
-	over := float64(c.Busy-c.Batch+1) / float64(c.Batch)
+	over := float64(c.Running-c.BatchLimit+1) / float64(c.BatchLimit)
 	return time.Duration(math.Min(60, 1+2*over) * float64(time.Second))
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -20,7 +20,7 @@
 func engine(id string) router.Candidate {
 	return router.Candidate{
 		ID: identifier.TargetID(id), Hash: uint64(len(id))*0x9e3779b97f4a7c15 + uint64(id[len(id)-1]), Zone: "a", Usable: true,
-		PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, Batch: 32, Cache: pieces(0),
+		PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, BatchLimit: 32, Cache: pieces(0),
 	}
 }
 
@@ -31,11 +31,11 @@
 	}{
 		"the shorter queue":            {func(_, o *router.Candidate, _ *router.Request) { o.FreeAt = now.Add(time.Second) }},
 		"the cached prompt":            {func(g, _ *router.Candidate, _ *router.Request) { g.Cache = pieces(2) }},
-		"the emptier batch":            {func(_, o *router.Candidate, _ *router.Request) { o.Busy = 20 }},
-		"not the full batch":           {func(_, o *router.Candidate, _ *router.Request) { o.Busy = 32 }},
+		"the emptier batch":            {func(_, o *router.Candidate, _ *router.Request) { o.Running = 20 }},
+		"not the full batch":           {func(_, o *router.Candidate, _ *router.Request) { o.Running = 32 }},
 		"the own zone":                 {func(_, o *router.Candidate, _ *router.Request) { o.Zone = "b" }},
-		"not the new one":              {func(_, o *router.Candidate, _ *router.Request) { o.Since = now }},
-		"not the one with late tokens": {func(_, o *router.Candidate, _ *router.Request) { o.Late = 0.2 }},
+		"not the new one":              {func(_, o *router.Candidate, _ *router.Request) { o.AddedAt = now }},
+		"not the one with late tokens": {func(_, o *router.Candidate, _ *router.Request) { o.LateShare = 0.2 }},
 		"not the unusable one":         {func(_, o *router.Candidate, _ *router.Request) { o.Usable = false }},
 		"not the one of another role":  {func(_, o *router.Candidate, _ *router.Request) { o.Role = recorder.Role_Prefill }},
 		"not the excluded one": {func(_, _ *router.Candidate, r *router.Request) {
@@ -48,7 +48,7 @@
 	} {
 		for draw := range uint64(20) {
 			candidates := []router.Candidate{engine("other"), engine("good")}
-			req := &router.Request{Zone: "a", PromptTokens: 4000, Pieces: []uint64{draw, draw + 1}, Draw: draw}
+			req := &router.Request{Zone: "a", PromptTokens: 4000, Parts: []uint64{draw, draw + 1}, Random: draw}
 			tc.change(&candidates[1], &candidates[0], req)
 			choice, ok := router.Choose(now, req, candidates)
 			quicktest.Assert(t, ok, quicktest.IsTrue)
@@ -61,9 +61,9 @@
 	candidates := fleet(12)
 	seen := map[int]int{}
 	for draw := range uint64(200) {
-		req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Pieces: []uint64{42}, Draw: draw}
+		req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42}, Random: draw}
 		choice, _ := router.Choose(time.Now(), req, candidates)
-		for _, s := range choice.Scores[:choice.Drawn] {
+		for _, s := range choice.Scores[:choice.Compared] {
 			seen[s.Index]++
 		}
 	}
@@ -89,10 +89,10 @@
 
 func TestDecisionAllocatesNothing(t *testing.T) {
 	candidates := fleet(720)
-	req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Pieces: []uint64{42, 43}}
+	req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42, 43}}
 	now := time.Now()
 	n := testing.AllocsPerRun(100, func() {
-		req.Draw++
+		req.Random++
 		router.Choose(now, req, candidates)
 	})
 	quicktest.Check(t, n, quicktest.Equals, 0.0)
@@ -102,11 +102,11 @@
 	for _, n := range []int{12, 45, 180, 360, 720, 1440} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			candidates := fleet(n)
-			req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Pieces: []uint64{42, 43, 44}}
+			req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42, 43, 44}}
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
-				req.Draw++
+				req.Random++
 				router.Choose(now, req, candidates)
 			}
 		})
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -34,8 +34,8 @@
 	mixed, prefill, decode, imported := req, req, req, req
 	mixed.Role = recorder.Role_Mixed
 	prefill.Role = recorder.Role_Prefill
-	decode.Role, decode.Computed = recorder.Role_Decode, true
-	imported.Role, imported.Computed = recorder.Role_Mixed, true
+	decode.Role, decode.Prefilled = recorder.Role_Decode, true
+	imported.Role, imported.Prefilled = recorder.Role_Mixed, true
 	onMixed, hasMixed := choose(now, g, &mixed, note)
 	onPrefill, hasPrefill := choose(now, g, &prefill, note)
 	onDecode, hasDecode := choose(now, g, &decode, note)
@@ -48,14 +48,14 @@
 	case hasPrefill && hasAnswer && (!hasMixed || split < onMixed.Cost):
 		return Plan{
 			Prefill: g.take(now, &prefill, onPrefill), Answer: g.take(now, answer, onAnswer),
-			Split: true, Predicted: onPrefill.Predicted + transferTime + onAnswer.Predicted, Late: onAnswer.Late, Cached: onPrefill.Cached,
+			Split: true, Predicted: onPrefill.Predicted + transferTime + onAnswer.Predicted, Late: onAnswer.LateShare, Cached: onPrefill.Cached,
 		}, true
 	case hasMixed:
-		return Plan{Answer: g.take(now, &mixed, onMixed), Predicted: onMixed.Predicted, Late: onMixed.Late, Cached: onMixed.Cached}, true
+		return Plan{Answer: g.take(now, &mixed, onMixed), Predicted: onMixed.Predicted, Late: onMixed.LateShare, Cached: onMixed.Cached}, true
 	case hasDecode:
-		decode.Computed = false
+		decode.Prefilled = false
 		onDecode, _ = choose(now, g, &decode, nil)
-		return Plan{Answer: g.take(now, &decode, onDecode), Predicted: onDecode.Predicted, Late: onDecode.Late, Cached: onDecode.Cached}, true
+		return Plan{Answer: g.take(now, &decode, onDecode), Predicted: onDecode.Predicted, Late: onDecode.LateShare, Cached: onDecode.Cached}, true
 	}
 	return Plan{}, false
 }
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -171,7 +171,7 @@
 func choose(now time.Time, g *group, req *router.Request, note func(identifier.TargetID, router.Score)) (router.Score, bool) {
 	choice, ok := router.Choose(now, req, g.candidates)
 	if note != nil {
-		for _, s := range choice.Scores[:choice.Drawn] {
+		for _, s := range choice.Scores[:choice.Compared] {
 			note(g.candidates[s.Index].ID, s)
 		}
 	}
@@ -184,12 +184,12 @@
 	c := &g.candidates[best.Index]
 	asserter.That(c.Usable && !tg.reported.Leaving, asserter.UsableTargetChosen, "target %s", c.ID)
 	h := Handle{ID: c.ID, Address: tg.spec.Address, Zone: c.Zone, Role: c.Role, target: tg}
-	if !req.Computed {
+	if !req.Prefilled {
 		h.cost = time.Duration(float64(req.PromptTokens-best.Cached) / max(1, c.PrefillPerSecond) * float64(time.Second))
 	}
 	h.sentAt = now
 	h.queued = max(0, tg.freeAt.Sub(now)) + h.cost
-	tg.sent(now, h.cost, req.Pieces)
+	tg.sent(now, h.cost, req.Parts)
 	return h
 }
 
@@ -199,12 +199,12 @@
 		c := &g.candidates[i]
 		c.Role = tg.role
 		c.Usable = tg.usable(now) && !t.leaving[c.ID] && !t.draining[c.ID]
-		c.Since = tg.since
-		c.Busy = tg.busy()
+		c.AddedAt = tg.since
+		c.Running = tg.busy()
 		c.FreeAt = tg.freeAt
-		c.Stretch = tg.stretch
-		c.Late = tg.lateShare(now)
-		c.Batch = tg.slots()
+		c.PrefillSlowdown = tg.stretch
+		c.LateShare = tg.lateShare(now)
+		c.BatchLimit = tg.slots()
 	}
 }
 
