--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -72,8 +72,8 @@
 	list := make([]Candidate, 0, len(targets))
 	for _, t := range targets {
 		p := b.page(t.ID, now)
-		if !t.Born.Equal(p.born) {
-			p.parts, p.tokens, p.born = nil, 0, t.Born
+		if !t.StartedAt.Equal(p.born) {
+			p.parts, p.tokens, p.born = nil, 0, t.StartedAt
 		}
 		list = append(list, Candidate{
 			Target: t, Load: p.load(), Cached: p.cached(parts), Sick: p.sickness(now), Age: now.Sub(p.firstAt),
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -184,7 +184,7 @@
 	if c.Target.Zone != zone {
 		cost += zoneCost
 	}
-	if cold := c.Target.Cold - c.Age; cold > 0 {
+	if cold := c.Target.WarmUpRemaining - c.Age; cold > 0 {
 		cost += time.Duration(float64(coldCost) * min(1, cold.Seconds()))
 	}
 	return cost
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -71,7 +71,7 @@
 	quicktest.Assert(t, int(book.Candidates(list, parts(1, 2), now)[0].Cached), quicktest.Equals, 17_000)
 	quicktest.Assert(t, int(book.Candidates(list, parts(5, 2), now)[0].Cached), quicktest.Equals, 0, quicktest.Commentf("a part counts only if all before it are held"))
 	again := *list[0]
-	again.Born = now
+	again.StartedAt = now
 	quicktest.Assert(t, int(book.Candidates([]*registrar.Target{&again}, parts(1, 2), now)[0].Cached), quicktest.Equals, 0)
 }
 
--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -49,8 +49,8 @@
 		}
 		b.Streams = append(b.Streams, describe(name, m, from, now))
 	}
-	for _, o := range c.registry.Orders(now) {
-		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Left).Milliseconds()})
+	for _, o := range c.registry.PendingOrders(now) {
+		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Remaining).Milliseconds()})
 	}
 	if s, ok := c.elector.Seen(); ok {
 		b.Lease = &gossiper.Lease{Holder: s.Holder, Fence: uint64(s.Fence), Offset: uint64(s.Next), AgeMilliseconds: s.Age.Milliseconds()}
@@ -97,7 +97,7 @@
 // announceOrders notes this instance's own orders and tells the peers.
 func (c *Coordinator) announceOrders() {
 	for _, p := range c.keeper.Pending() {
-		c.registry.Ordered(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
+		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
 	c.peers.Wake()
 }
@@ -144,7 +144,7 @@
 	}
 	for _, o := range b.Orders {
 		left := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
-		c.registry.Ordered(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(left))
+		c.registry.RecordOrder(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(left))
 	}
 	if l := b.Lease; l != nil {
 		c.elector.Hear(elector.Sighting{
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -143,7 +143,7 @@
 	c.members.Changed = c.memberChanged
 	c.targets.Outage = shortestOutage
 	c.targets.Failing = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
-	c.registry.StoreReturned = c.targets.Regained
+	c.registry.StoreRestoredAt = c.targets.Regained
 }
 
 func (c *Coordinator) wirePeers() {
@@ -161,11 +161,11 @@
 	}
 	c.supplier = &orderkeeper.Supplier{
 		Duty: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
-		Targets: c.registry.Staying, Serving: c.registry.Of, Load: c.demand.Peak, Logger: c.logger,
+		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.keeper = &orderkeeper.Keeper{
 		Holder: c.self.ID, Duty: c.elector, Commander: c.platform.Commander, Shrinking: c.supplier.Shrinking,
-		Table: c.table.Load, Targets: c.registry.Staying, Announce: c.announceOrders, Logger: c.logger,
+		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windows = &reporter.Windows{
 		Duty: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, Late: bounds.UsageLate,
@@ -181,7 +181,7 @@
 	}
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
-		Targets: c.registry.Of, Expected: c.expected, Instances: c.instances,
+		Targets: c.registry.Available, Expected: c.expected, Instances: c.instances,
 		Book: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, Spread: c.spread,
 		Backend: c.platform.Backend, Budget: c.budget,
 		Began: c.began, Offered: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
@@ -195,11 +195,11 @@
 		return 0, false
 	}
 	soonest, found := time.Duration(0), false
-	for _, o := range c.registry.Orders(now) {
+	for _, o := range c.registry.PendingOrders(now) {
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
-		if left := max(0, s.Engine.Switch-(orderkeeper.SettleTime-o.Left)); !found || left < soonest {
+		if left := max(0, s.Engine.Switch-(orderkeeper.SettleTime-o.Remaining)); !found || left < soonest {
 			soonest, found = left, true
 		}
 	}
@@ -308,7 +308,7 @@
 func (c *Coordinator) targetChanged(r mirrorer.Record) {
 	id := identifier.TargetID(r.Key)
 	if len(r.Value) == 0 {
-		c.registry.Drop(id, time.Now())
+		c.registry.Remove(id, time.Now())
 		c.logger.Info("target gone", zap.String("Target", r.Key), zap.Uint64("Offset", uint64(r.Offset)))
 		c.peers.Wake()
 		return
@@ -316,15 +316,15 @@
 	t, err := c.platform.DecodeTarget(r.Key, r.Value)
 	if err != nil {
 		c.logger.Warn("target entry not usable", zap.String("Target", r.Key), zap.Uint64("Offset", uint64(r.Offset)), zap.Error(err))
-		c.registry.Drop(id, time.Now())
+		c.registry.Remove(id, time.Now())
 		return
 	}
 	if !c.registry.Put(t, time.Now()) {
-		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Beat), zap.Uint64("Offset", uint64(r.Offset)))
+		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
 		return
 	}
 	c.logger.Info("target", zap.String("Target", r.Key), zap.String("Service", string(t.Service)), zap.String("Zone", string(t.Zone)),
-		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Beat), zap.Uint64("Offset", uint64(r.Offset)))
+		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
 	c.peers.Wake()
 }
 
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -38,12 +38,12 @@
 	Leaving bool
 	// Slots is how many requests it runs at once.
 	Slots int
-	// Cold is how much longer it stays slow after its start, as of its entry.
-	Cold time.Duration
-	// Born is its start; another one means that everything it held is gone.
-	Born time.Time
-	// Beat numbers what the target said of itself since its start.
-	Beat uint64
+	// WarmUpRemaining is how much longer it stays slow after its start, as of its entry.
+	WarmUpRemaining time.Duration
+	// StartedAt is its start; another one means that everything it held is gone.
+	StartedAt time.Time
+	// Sequence numbers what the target said of itself since its start.
+	Sequence uint64
 	// Cheap targets may be reclaimed at short notice.
 	Cheap bool
 }
@@ -70,8 +70,8 @@
 
 // Registrar folds target entries into a list; the zero value is empty.
 type Registrar struct {
-	// StoreReturned answers when the store last came back after an outage; zero: never away.
-	StoreReturned func() time.Time
+	// StoreRestoredAt answers when the store last came back after an outage; zero: never away.
+	StoreRestoredAt func() time.Time
 
 	mu     sync.Mutex
 	byID   map[identifier.TargetID]*Target
@@ -87,13 +87,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.last[t.ID]
-	if same := l.born.Equal(t.Born) && !l.at.IsZero(); same && (t.Beat < l.beat || l.leaving && !t.Leaving) {
+	if same := l.born.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Sequence < l.beat || l.leaving && !t.Leaving) {
 		return false
 	}
 	if r.last == nil {
 		r.last = map[identifier.TargetID]last{}
 	}
-	r.last[t.ID] = last{born: t.Born, beat: t.Beat, leaving: t.Leaving, at: now}
+	r.last[t.ID] = last{born: t.StartedAt, beat: t.Sequence, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
@@ -103,16 +103,16 @@
 	return true
 }
 
-// Drop removes a target: at once, or, around an outage of the store, unless it is back soon.
-func (r *Registrar) Drop(id identifier.TargetID, now time.Time) {
+// Remove removes a target: at once, or, around an outage of the store, unless it is back soon.
+func (r *Registrar) Remove(id identifier.TargetID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.byID[id]
 	if t == nil {
 		return
 	}
-	if !t.Leaving && r.StoreReturned != nil {
-		if until := r.StoreReturned().Add(reappearance); now.Before(until) {
+	if !t.Leaving && r.StoreRestoredAt != nil {
+		if until := r.StoreRestoredAt().Add(reappearance); now.Before(until) {
 			if r.lapsed == nil {
 				r.lapsed = map[identifier.TargetID]time.Time{}
 			}
@@ -152,8 +152,8 @@
 	return *list
 }
 
-// Staying returns the targets of a service that do not leave.
-func (r *Registrar) Staying(service identifier.ServiceID) []*Target {
+// NotLeaving returns the targets of a service that do not leave.
+func (r *Registrar) NotLeaving(service identifier.ServiceID) []*Target {
 	var list []*Target
 	for _, t := range r.Targets() {
 		if t.Service == service && !t.Leaving {
@@ -163,9 +163,9 @@
 	return list
 }
 
-// Of returns the targets of a service that take new work: they do not leave, and change no stage.
-func (r *Registrar) Of(service identifier.ServiceID, now time.Time) []*Target {
-	list := r.Staying(service)
+// Available returns the targets of a service that take new work: they do not leave, and change no stage.
+func (r *Registrar) Available(service identifier.ServiceID, now time.Time) []*Target {
+	list := r.NotLeaving(service)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.DeleteFunc(list, func(t *Target) bool {
@@ -174,30 +174,30 @@
 	})
 }
 
-// Order is a change of stage that is not over yet.
-type Order struct {
+// StageOrder is a change of stage that is not over yet.
+type StageOrder struct {
 	Target  identifier.TargetID
 	Service identifier.ServiceID
 	Stage   Stage
-	Left    time.Duration
+	Remaining    time.Duration
 }
 
-// Orders returns the changes of stages that are not over yet.
-func (r *Registrar) Orders(now time.Time) []Order {
+// PendingOrders returns the changes of stages that are not over yet.
+func (r *Registrar) PendingOrders(now time.Time) []StageOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []Order
+	var list []StageOrder
 	for id, o := range r.orders {
 		if t := r.byID[id]; now.Before(o.until) && t != nil && t.Stage != o.stage {
-			list = append(list, Order{Target: id, Service: t.Service, Stage: o.stage, Left: o.until.Sub(now)})
+			list = append(list, StageOrder{Target: id, Service: t.Service, Stage: o.stage, Remaining: o.until.Sub(now)})
 		}
 	}
 	return list
 }
 
-// Ordered notes that a target was told to change its stage; it counts as changing until its entry shows the stage, at
+// RecordOrder notes that a target was told to change its stage; it counts as changing until its entry shows the stage, at
 // the latest until the given time.
-func (r *Registrar) Ordered(id identifier.TargetID, stage Stage, until time.Time) {
+func (r *Registrar) RecordOrder(id identifier.TargetID, stage Stage, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.orders == nil {
