--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -30,7 +30,7 @@
 
 // TestInstancesAgree sends the same new shared part from instances that have not heard of each other.
 func TestInstancesAgree(t *testing.T) {
-	list := targets(9, registrar.Prompts)
+	list := targets(9, registrar.PrefillStage)
 	chosen := map[identifier.TargetID]int{}
 	for _, zone := range []identifier.ZoneID{"z0", "z1", "z2"} {
 		var book chooser.Book
@@ -44,7 +44,7 @@
 // TestAffinityAgainstLoad answers a burst on one shared part: its holder is used until the queue there costs more than
 // to read the part again.
 func TestAffinityAgainstLoad(t *testing.T) {
-	list := targets(6, registrar.Prompts)
+	list := targets(6, registrar.PrefillStage)
 	var book chooser.Book
 	book.Read("t3", parts(1, 2)[:1], now)
 	choose := func() chooser.Verdict {
@@ -64,7 +64,7 @@
 }
 
 func TestRestartedTargetsHoldNothing(t *testing.T) {
-	list := targets(1, registrar.Prompts)
+	list := targets(1, registrar.PrefillStage)
 	var book chooser.Book
 	book.Candidates(list, nil, now)
 	book.Read("t0", parts(1, 2), now)
@@ -76,7 +76,7 @@
 }
 
 func TestPeersLoads(t *testing.T) {
-	list := targets(2, registrar.Answers)
+	list := targets(2, registrar.DecodeStage)
 	var book chooser.Book
 	load := func() chooser.Load { return book.Candidates(list, nil, now)[0].Load }
 	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
@@ -122,7 +122,7 @@
 }
 
 func BenchmarkPromptTarget(b *testing.B) {
-	list := targets(720, registrar.Prompts)
+	list := targets(720, registrar.PrefillStage)
 	var book chooser.Book
 	p := &chooser.Prompt{Zone: "z0", Parts: parts(1, 2)}
 	for b.Loop() {
@@ -152,7 +152,7 @@
 }
 
 func TestCommonFirstPart(t *testing.T) {
-	list := targets(20, registrar.Prompts)
+	list := targets(20, registrar.PrefillStage)
 	var book chooser.Book
 	chosen := map[identifier.TargetID]int{}
 	const sessions = 200
@@ -170,7 +170,7 @@
 
 // TestIdleTargetsShareABurst sends from many instances that all see the same idle targets.
 func TestIdleTargetsShareABurst(t *testing.T) {
-	list := targets(12, registrar.Answers)
+	list := targets(12, registrar.DecodeStage)
 	var book chooser.Book
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -240,7 +240,7 @@
 
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
 func (j *job) answerTarget() (chooser.Verdict, bool) {
-	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
+	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
 	if j.route.Prompted {
 		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -103,7 +103,7 @@
 	route.Shares = []matcher.Share{{Service: "s", Weight: 1}}
 	table := matcher.New(matcher.Configuration{Version: 1, Routes: []matcher.Route{route}, Teams: []matcher.Team{{ID: "team", Keys: []string{"key"}}},
 		Services: []matcher.Service{{ID: "s", ConnectionLimit: 110}}})
-	targets := []*registrar.Target{{ID: "p1", Stage: registrar.Prompts}, {ID: "p2", Stage: registrar.Prompts}, {ID: "a1", Stage: registrar.Answers}, {ID: "a2", Stage: registrar.Answers}}
+	targets := []*registrar.Target{{ID: "p1", Stage: registrar.PrefillStage}, {ID: "p2", Stage: registrar.PrefillStage}, {ID: "a1", Stage: registrar.DecodeStage}, {ID: "a2", Stage: registrar.DecodeStage}}
 	if route.ID == "changing" {
 		targets = targets[:2]
 	}
@@ -251,7 +251,7 @@
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
 	out = serve(b, matcher.Route{Kind: matcher.Safe, Prompted: true}, &forwarder.Call{}, 0)
 	quicktest.Check(t, out.Body.String(), quicktest.Equals, "ok")
-	quicktest.Check(t, b.sent[0].Target.Stage, quicktest.Equals, registrar.Answers)
+	quicktest.Check(t, b.sent[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
 }
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -67,7 +67,7 @@
 		return &Refusal{Status: http.StatusBadGateway, Reason: "TargetFailed"}
 	}
 	back := comeBack
-	if wait, expected := j.f.Expected(j.target, registrar.Answers, time.Now()); expected {
+	if wait, expected := j.f.Expected(j.target, registrar.DecodeStage, time.Now()); expected {
 		back = wait + rand.N(returnSpread)
 	}
 	return notRun("NoTarget", back, nil)
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -71,7 +71,7 @@
 		if !j.route.Prompted {
 			return answer.Target, nil, nil
 		}
-		prompts := j.candidates(j.call.Parts, registrar.Prompts)
+		prompts := j.candidates(j.call.Parts, registrar.PrefillStage)
 		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Draw: j.draw()}, prompts)
 		if !ok && j.promptsFailed && j.call.Body.Whole() {
 			return nil, nil, j.givenUp(notRun("PromptTargetsFailed", comeBack, nil))
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -45,9 +45,9 @@
 func stageEngines(stages string, zones string) []placer.StageEngine {
 	var list []placer.StageEngine
 	for i, s := range stages {
-		e := placer.StageEngine{ID: identifier.TargetID(rune('a' + i)), Zone: identifier.ZoneID(zones[i%len(zones)]), Stage: registrar.Prompts}
+		e := placer.StageEngine{ID: identifier.TargetID(rune('a' + i)), Zone: identifier.ZoneID(zones[i%len(zones)]), Stage: registrar.PrefillStage}
 		if s == 'A' {
-			e.Stage = registrar.Answers
+			e.Stage = registrar.DecodeStage
 		}
 		list = append(list, e)
 	}
@@ -63,7 +63,7 @@
 	quicktest.Assert(t, changes, quicktest.HasLen, 5)
 	left := map[identifier.ZoneID]int{}
 	for _, e := range list {
-		if e.Stage == registrar.Answers {
+		if e.Stage == registrar.DecodeStage {
 			left[e.Zone]++
 		}
 	}
@@ -74,7 +74,7 @@
 
 	// The answering engines of a zone were reclaimed.
 	list = stageEngines("PPPPPP", "xy")
-	quicktest.Assert(t, placer.Split(list, 1), quicktest.DeepEquals, []placer.StageChange{{ID: "a", Stage: registrar.Answers}})
+	quicktest.Assert(t, placer.Split(list, 1), quicktest.DeepEquals, []placer.StageChange{{ID: "a", Stage: registrar.DecodeStage}})
 
 	// Cheap engines answer only where no other can, because answers are cut when they go.
 	list = stageEngines("PPPP", "x")
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -45,7 +45,7 @@
 	zones := map[identifier.ZoneID]int{}
 	have, ready := 0, 0
 	for _, e := range engines {
-		if e.Stage == registrar.Answers {
+		if e.Stage == registrar.DecodeStage {
 			have++
 			zones[e.Zone]++
 			if !e.Busy {
@@ -55,21 +55,21 @@
 	}
 	var changes []StageChange
 	for ; have < wanted; have++ {
-		e := pick(engines, registrar.Prompts, func(a StageEngine) int { return zones[a.Zone] })
+		e := pick(engines, registrar.PrefillStage, func(a StageEngine) int { return zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]++
-		changes = append(changes, change(e, registrar.Answers))
+		changes = append(changes, change(e, registrar.DecodeStage))
 	}
 	// Engines that are still changing answer nothing yet.
 	for ; ready > wanted; ready-- {
-		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -zones[a.Zone] })
+		e := pick(engines, registrar.DecodeStage, func(a StageEngine) int { return -zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]--
-		changes = append(changes, change(e, registrar.Prompts))
+		changes = append(changes, change(e, registrar.PrefillStage))
 	}
 	return changes
 }
@@ -111,7 +111,7 @@
 }
 
 func cheapRank(e StageEngine, from registrar.Stage) int {
-	if e.Cheap == (from == registrar.Prompts) {
+	if e.Cheap == (from == registrar.PrefillStage) {
 		return 1
 	}
 	return 0
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -18,10 +18,10 @@
 const (
 	// AnyStage is that of plain targets.
 	AnyStage Stage = iota
-	// Prompts computes prompts for other targets.
-	Prompts
-	// Answers generates tokens.
-	Answers
+	// PrefillStage computes prompts for other targets.
+	PrefillStage
+	// DecodeStage generates tokens.
+	DecodeStage
 )
 
 // String returns the stage's name in logs.
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -15,7 +15,7 @@
 )
 
 func target(beat uint64, leaving bool) registrar.Target {
-	return registrar.Target{ID: "t", Service: "s", StartedAt: born, Sequence: beat, Leaving: leaving, Stage: registrar.Prompts}
+	return registrar.Target{ID: "t", Service: "s", StartedAt: born, Sequence: beat, Leaving: leaving, Stage: registrar.PrefillStage}
 }
 
 func TestHeldUpEntriesChangeNothing(t *testing.T) {
@@ -50,14 +50,14 @@
 func TestOrderedTargetsTakeNoWork(t *testing.T) {
 	var r registrar.Registrar
 	r.Put(target(1, false), now)
-	r.RecordOrder("t", registrar.Answers, now.Add(6*time.Second))
+	r.RecordOrder("t", registrar.DecodeStage, now.Add(6*time.Second))
 	quicktest.Assert(t, r.Available("s", now), quicktest.HasLen, 0)
 	quicktest.Assert(t, r.NotLeaving("s"), quicktest.HasLen, 1)
-	quicktest.Assert(t, r.PendingOrders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.Answers, Remaining: 6 * time.Second}})
+	quicktest.Assert(t, r.PendingOrders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.DecodeStage, Remaining: 6 * time.Second}})
 	changed := target(2, false)
-	changed.Stage = registrar.Answers
+	changed.Stage = registrar.DecodeStage
 	r.Put(changed, now)
 	quicktest.Assert(t, r.Available("s", now), quicktest.HasLen, 1)
-	r.RecordOrder("t", registrar.Prompts, now.Add(time.Second))
+	r.RecordOrder("t", registrar.PrefillStage, now.Add(time.Second))
 	quicktest.Assert(t, r.Available("s", now.Add(2*time.Second)), quicktest.HasLen, 1, quicktest.Commentf("an order that had no effect is forgotten"))
 }
