--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -28,7 +28,7 @@
 			Answers: uint32(max(0, load.Answers)), AnswerTokens: uint64(max(0, load.AnswerTokens)),
 		})
 	}
-	for service, rate := range c.demand.Own(now) {
+	for service, rate := range c.demand.LocalRates(now) {
 		s.Rates = append(s.Rates, &gossiper.Rate{Service: string(service), PromptTokensPerSecond: rate})
 	}
 	return s
@@ -123,7 +123,7 @@
 	}
 	c.book.Hear(s.Member.ID, loads, now)
 	for _, r := range s.Rates {
-		c.demand.Hear(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
+		c.demand.SetPeerRate(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
 	}
 }
 
--- a/internal/demander/demander.go
+++ b/internal/demander/demander.go
@@ -51,8 +51,8 @@
 	s.own += float64(tokens) / rateTime.Seconds()
 }
 
-// Own returns this instance's rates in tokens per second.
-func (d *Demand) Own(now time.Time) map[identifier.ServiceID]float64 {
+// LocalRates returns this instance's rates in tokens per second.
+func (d *Demand) LocalRates(now time.Time) map[identifier.ServiceID]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	own := map[identifier.ServiceID]float64{}
@@ -64,8 +64,8 @@
 	return own
 }
 
-// Hear notes a peer's rate.
-func (d *Demand) Hear(peer string, id identifier.ServiceID, rate float64, now time.Time) {
+// SetPeerRate notes a peer's rate.
+func (d *Demand) SetPeerRate(peer string, id identifier.ServiceID, rate float64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.service(id)
--- a/internal/demander/demander_test.go
+++ b/internal/demander/demander_test.go
@@ -17,7 +17,7 @@
 	for range 10 {
 		now = now.Add(time.Second)
 		d.Add("s", 36_700, now)
-		d.Hear("peer", "s", 36_700, now)
+		d.SetPeerRate("peer", "s", 36_700, now)
 		d.Sample(now)
 	}
 	peak := d.Peak("s")
@@ -28,5 +28,5 @@
 	}
 	faded := d.Peak("s")
 	quicktest.Assert(t, faded > 0.4*peak && faded < 0.6*peak, quicktest.IsTrue, quicktest.Commentf("%.2f a minute later", faded))
-	quicktest.Assert(t, d.Own(now), quicktest.HasLen, 0)
+	quicktest.Assert(t, d.LocalRates(now), quicktest.HasLen, 0)
 }
