--- a/internal/evaluator/capacity_test.go
+++ b/internal/evaluator/capacity_test.go
@@ -153,12 +153,12 @@
 }
 
 func placeCost(n int) float64 {
-	s := placer.Situation{Short: placer.Demand{Prompt: float64(n) * 60, Output: float64(n) * 10}, SinceChange: time.Hour}
+	s := placer.RoleInput{Short: placer.Demand{Prompt: float64(n) * 60, Output: float64(n) * 10}, SinceChange: time.Hour}
 	s.Long = s.Short
 	for i := range n {
 		s.Engines = append(s.Engines, placer.Engine{ID: identifier.TargetID(fmt.Sprint(i)), Zone: identifier.ZoneID(fmt.Sprint(i % 6)), Orderable: true, PrefillPerSecond: 100, DecodePerSecond: 100})
 	}
-	return micros(func() { placer.Roles(s) })
+	return micros(func() { placer.PlanRoles(s) })
 }
 
 func beatOf(n int) []byte {
--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -84,10 +84,10 @@
 		f := 1 - math.Exp(-1.0/8)
 		long.Prompt += f * (short.Prompt - long.Prompt)
 		long.Output += f * (short.Output - long.Output)
-		situation := placer.Situation{
+		situation := placer.RoleInput{
 			Engines: s.roleEngines(), Short: short, Long: long, SinceChange: time.Since(changedAt),
 		}
-		for _, c := range placer.Roles(situation) {
+		for _, c := range placer.PlanRoles(situation) {
 			changedAt = time.Now()
 			s.group.Go(func() { s.change(c) })
 		}
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -340,7 +340,7 @@
 }
 
 // change drains an engine, changes its role and puts it to use again.
-func (s *simulation) change(c placer.Change) {
+func (s *simulation) change(c placer.RoleChange) {
 	s.mu.Lock()
 	s.draining[c.ID] = true
 	s.outcome.changes++
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -155,11 +155,11 @@
 		engines = append(engines, e)
 	}
 	placer.SortEngines(engines)
-	wanted := placer.Answerers(len(engines))
+	wanted := placer.WantedDecodeEngines(len(engines))
 	if k.Shrinking(s.ID) {
 		wanted = max(wanted, min(2, len(engines)-1))
 	}
-	changes := placer.Split(engines, wanted)
+	changes := placer.PlanStages(engines, wanted)
 	var group sync.WaitGroup
 	for _, c := range changes {
 		group.Go(func() { k.order(ctx, byID[c.ID], c.Stage) })
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -99,15 +99,15 @@
 		}
 		fleet[t.Zone] = z
 	}
-	situation := placer.FleetSituation{
+	situation := placer.FleetInput{
 		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
-		Load: s.Load(service.ID), CheapPrice: service.Scaling.CheapPrice,
+		PeakLoad: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPrice,
 	}
 	for _, z := range fleet {
 		situation.Zones = append(situation.Zones, z)
 	}
 	shrinking := false
-	for _, w := range placer.Fleet(situation) {
+	for _, w := range placer.PlanFleet(situation) {
 		have := fleet[w.Zone]
 		shrinking = shrinking || w.Cheap < have.Cheap || settled && w.Regular < have.Regular
 		s.change(ctx, service, lot{service.ID, w.Zone, true}, have.Cheap, w.Cheap)
@@ -133,7 +133,7 @@
 		}
 		most := have - want
 		if service.Engine != nil {
-			most = min(most, placer.MayLeave(s.answering(service.ID), l.zone, len(s.Targets(service.ID))))
+			most = min(most, placer.MaximumWithdrawals(s.answering(service.ID), l.zone, len(s.Targets(service.ID))))
 		}
 		if most == 0 {
 			return
--- a/internal/placer/fleet.go
+++ b/internal/placer/fleet.go
@@ -27,39 +27,39 @@
 	Cheap   int
 }
 
-// FleetSituation is what a decision on the number of targets depends on.
-type FleetSituation struct {
+// FleetInput is what a decision on the number of targets depends on.
+type FleetInput struct {
 	Zones []ZoneFleet
 	// Minimum and Maximum bound the targets of both kinds together in each zone.
 	Minimum int
 	Maximum int
-	// Load is the highest demand of late, in engines that are busy all the time; zero: not known yet.
-	Load float64
-	// CheapPrice is what a cheap target costs of the price of another; zero or less: none can be had.
-	CheapPrice float64
+	// PeakLoad is the highest demand of late, in engines that are busy all the time; zero: not known yet.
+	PeakLoad float64
+	// CheapPriceFraction is what a cheap target costs of the price of another; zero or less: none can be had.
+	CheapPriceFraction float64
 }
 
-// ZoneWant is how many targets of each kind a zone should have.
-type ZoneWant struct {
+// ZonePlan is how many targets of each kind a zone should have.
+type ZonePlan struct {
 	Zone    identifier.ZoneID
 	Regular int
 	Cheap   int
 }
 
-// Fleet returns what to order in each zone.
-func Fleet(s FleetSituation) []ZoneWant {
+// PlanFleet returns what to order in each zone.
+func PlanFleet(s FleetInput) []ZonePlan {
 	zones := slices.Clone(s.Zones)
 	slices.SortFunc(zones, func(a, b ZoneFleet) int { return cmp.Compare(a.Zone, b.Zone) })
-	wants := make([]ZoneWant, 0, len(zones))
+	wants := make([]ZonePlan, 0, len(zones))
 	for _, z := range zones {
-		w := ZoneWant{Zone: z.Zone, Regular: max(z.Regular, s.Minimum)}
-		switch cheap := s.CheapPrice > 0 && s.CheapPrice < 1; {
-		case s.Load <= 0 && cheap:
+		w := ZonePlan{Zone: z.Zone, Regular: max(z.Regular, s.Minimum)}
+		switch cheap := s.CheapPriceFraction > 0 && s.CheapPriceFraction < 1; {
+		case s.PeakLoad <= 0 && cheap:
 			w.Cheap = max(0, s.Maximum-max(w.Regular, s.Maximum/2))
-		case s.Load > 0 && cheap:
+		case s.PeakLoad > 0 && cheap:
 			w = mixed(s, z, len(zones))
-		case s.Load > 0:
-			w.Regular = inBounds(s, math.Ceil(s.Load*headroom/float64(len(zones))))
+		case s.PeakLoad > 0:
+			w.Regular = inBounds(s, math.Ceil(s.PeakLoad*headroom/float64(len(zones))))
 		}
 		wants = append(wants, w)
 	}
@@ -68,17 +68,17 @@
 
 // mixed returns the fewest regular targets that carry the load without the cheap ones of two zones, and cheap ones
 // that carry it without those of one.
-func mixed(s FleetSituation, z ZoneFleet, zones int) ZoneWant {
-	needed := s.Load * headroom
+func mixed(s FleetInput, z ZoneFleet, zones int) ZonePlan {
+	needed := s.PeakLoad * headroom
 	n, rest := float64(zones), float64(max(0, zones-2))
 	base := max(1, s.Minimum)
 	for base < s.Maximum && n*float64(base)+rest*float64(s.Maximum-base) < needed {
 		base++
 	}
-	all := inBounds(s, math.Ceil(s.Load*cheapHeadroom/max(1, n-1)))
+	all := inBounds(s, math.Ceil(s.PeakLoad*cheapHeadroom/max(1, n-1)))
 	// More regular targets are not ordered where cheap ones do the work: they would stay after the burst.
 	base = min(base, max(z.Regular, s.Minimum, 1))
-	w := ZoneWant{Zone: z.Zone, Regular: max(base, z.Regular), Cheap: max(1, all-base)}
+	w := ZonePlan{Zone: z.Zone, Regular: max(base, z.Regular), Cheap: max(1, all-base)}
 	if 2*z.Cheap >= w.Cheap {
 		w.Regular = base
 	}
@@ -86,4 +86,4 @@
 	return w
 }
 
-func inBounds(s FleetSituation, n float64) int { return max(s.Minimum, 1, min(s.Maximum, int(n))) }
+func inBounds(s FleetInput, n float64) int { return max(s.Minimum, 1, min(s.Maximum, int(n))) }
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -27,25 +27,25 @@
 func TestRoles(t *testing.T) {
 	demand := func(prompt, output float64) placer.Demand { return placer.Demand{Prompt: prompt, Output: output} }
 	for name, tc := range map[string]struct {
-		s       placer.Situation
+		s       placer.RoleInput
 		changes int
 		role    recorder.Role
 	}{
-		"light load changes nothing":            {placer.Situation{Engines: engines(12, 0), Short: demand(200, 200), Long: demand(200, 200)}, 0, 0},
-		"many prompts set engines apart":        {placer.Situation{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200)}, 4, recorder.Role_Prefill},
-		"a short burst changes nothing":         {placer.Situation{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(300, 200)}, 0, 0},
-		"soon after a change nothing changes":   {placer.Situation{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200), SinceChange: time.Second}, 0, 0},
-		"fewer prompts give engines back":       {placer.Situation{Engines: engines(12, 5), Short: demand(100, 300), Long: demand(100, 300)}, 4, recorder.Role_Mixed},
-		"a little less changes nothing":         {placer.Situation{Engines: engines(12, 5), Short: demand(570, 200), Long: demand(570, 200)}, 0, 0},
-		"full batches set engines apart":        {placer.Situation{Engines: engines(12, 0), Short: demand(200, 800), Long: demand(200, 800)}, 2, recorder.Role_Prefill},
-		"an engine that changes is waited for":  {placer.Situation{Engines: changing(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
-		"engines that take no order stay as is": {placer.Situation{Engines: fixed(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
-		"one engine stays mixed":                {placer.Situation{Engines: engines(1, 0), Short: demand(90, 10), Long: demand(90, 10)}, 0, 0},
+		"light load changes nothing":            {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 200), Long: demand(200, 200)}, 0, 0},
+		"many prompts set engines apart":        {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200)}, 4, recorder.Role_Prefill},
+		"a short burst changes nothing":         {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(300, 200)}, 0, 0},
+		"soon after a change nothing changes":   {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200), SinceChange: time.Second}, 0, 0},
+		"fewer prompts give engines back":       {placer.RoleInput{Engines: engines(12, 5), Short: demand(100, 300), Long: demand(100, 300)}, 4, recorder.Role_Mixed},
+		"a little less changes nothing":         {placer.RoleInput{Engines: engines(12, 5), Short: demand(570, 200), Long: demand(570, 200)}, 0, 0},
+		"full batches set engines apart":        {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 800), Long: demand(200, 800)}, 2, recorder.Role_Prefill},
+		"an engine that changes is waited for":  {placer.RoleInput{Engines: changing(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
+		"engines that take no order stay as is": {placer.RoleInput{Engines: fixed(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
+		"one engine stays mixed":                {placer.RoleInput{Engines: engines(1, 0), Short: demand(90, 10), Long: demand(90, 10)}, 0, 0},
 	} {
 		if tc.s.SinceChange == 0 {
 			tc.s.SinceChange = time.Minute
 		}
-		got := placer.Roles(tc.s)
+		got := placer.PlanRoles(tc.s)
 		quicktest.Check(t, got, quicktest.HasLen, tc.changes, quicktest.Commentf(name))
 		for _, c := range got {
 			quicktest.Check(t, c.Role, quicktest.Equals, tc.role, quicktest.Commentf(name))
@@ -65,10 +65,10 @@
 	return list
 }
 
-func holdings(zones ...string) []placer.Holding {
-	var list []placer.Holding
+func holdings(zones ...string) []placer.TargetState {
+	var list []placer.TargetState
 	for i, zone := range zones {
-		list = append(list, placer.Holding{ID: identifier.TargetID(fmt.Sprint(i)), Zone: identifier.ZoneID(zone), Acquired: i > 0})
+		list = append(list, placer.TargetState{ID: identifier.TargetID(fmt.Sprint(i)), Zone: identifier.ZoneID(zone), Acquired: i > 0})
 	}
 	return list
 }
@@ -76,16 +76,16 @@
 func TestTargets(t *testing.T) {
 	zones := []identifier.ZoneID{"a", "b", "c"}
 	for name, tc := range map[string]struct {
-		s    placer.Supply
+		s    placer.TargetInput
 		want []placer.TargetChange
 	}{
-		"enough after any zone is lost": {placer.Supply{Zones: zones, Holdings: holdings("a", "b", "c"), Needed: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
-		"too few after a zone is lost":  {placer.Supply{Zones: zones, Holdings: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
-		"cheap within its share":        {placer.Supply{Zones: zones, Holdings: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
-		"no more than the maximum":      {placer.Supply{Zones: zones, Holdings: holdings("a", "b"), Needed: 5, Maximum: 2, SurvivingShare: 1}, nil},
-		"no zone to order in":           {placer.Supply{Holdings: holdings("a", "b"), Needed: 5, Maximum: 9, SurvivingShare: 1}, nil},
-		"gives back what is not needed": {placer.Supply{Zones: zones, Holdings: holdings("a", "b", "c", "b", "a"), Needed: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
+		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: holdings("a", "b", "c"), Needed: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
+		"too few after a zone is lost":  {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
+		"cheap within its share":        {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
+		"no more than the maximum":      {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 5, Maximum: 2, SurvivingShare: 1}, nil},
+		"no zone to order in":           {placer.TargetInput{Targets: holdings("a", "b"), Needed: 5, Maximum: 9, SurvivingShare: 1}, nil},
+		"gives back what is not needed": {placer.TargetInput{Zones: zones, Targets: holdings("a", "b", "c", "b", "a"), Needed: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
 	} {
-		quicktest.Check(t, placer.Targets(tc.s), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
+		quicktest.Check(t, placer.PlanTargets(tc.s), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
 	}
 }
--- a/internal/placer/roles.go
+++ b/internal/placer/roles.go
@@ -60,22 +60,22 @@
 	Output float64
 }
 
-// Situation is what a role decision depends on.
-type Situation struct {
+// RoleInput is what a role decision depends on.
+type RoleInput struct {
 	Engines     []Engine
 	Short       Demand
 	Long        Demand
 	SinceChange time.Duration
 }
 
-// Change is a role to order.
-type Change struct {
+// RoleChange is a role to order.
+type RoleChange struct {
 	ID   identifier.TargetID
 	Role recorder.Role
 }
 
-// Roles returns the role changes to order now.
-func Roles(s Situation) []Change {
+// PlanRoles returns the role changes to order now.
+func PlanRoles(s RoleInput) []RoleChange {
 	if len(s.Engines) == 0 || s.SinceChange < settleTime || changing(s.Engines) {
 		return nil
 	}
@@ -88,8 +88,8 @@
 	return changes(s.Engines, int(math.Round(short)))
 }
 
-// Needed returns the demand in engines.
-func Needed(engines []Engine, d Demand) float64 {
+// NeededEngines returns the demand in engines.
+func NeededEngines(engines []Engine, d Demand) float64 {
 	if len(engines) == 0 {
 		return 0
 	}
@@ -155,15 +155,15 @@
 }
 
 // changes sets so many more engines apart for prompts, or fewer, in all zones in turn.
-func changes(engines []Engine, more int) []Change {
+func changes(engines []Engine, more int) []RoleChange {
 	from, to := recorder.Role_Mixed, recorder.Role_Prefill
 	if more < 0 {
 		from, to, more = to, from, -more
 	}
-	var list []Change
+	var list []RoleChange
 	for _, e := range spread(engines, to) {
 		if e.Orderable && e.Role == from && len(list) < min(more, changesAtOnce) {
-			list = append(list, Change{ID: e.ID, Role: to})
+			list = append(list, RoleChange{ID: e.ID, Role: to})
 		}
 	}
 	return list
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -32,16 +32,16 @@
 	Stage registrar.Stage
 }
 
-// Answerers returns how many of so many engines should generate answers.
-func Answerers(engines int) int {
+// WantedDecodeEngines returns how many of so many engines should generate answers.
+func WantedDecodeEngines(engines int) int {
 	if engines <= 1 {
 		return engines
 	}
 	return min(engines-1, max(1, int(math.Round(answerShare*float64(engines)))))
 }
 
-// Split returns the changes that bring the number of answering engines to wanted.
-func Split(engines []StageEngine, wanted int) []StageChange {
+// PlanStages returns the changes that bring the number of answering engines to wanted.
+func PlanStages(engines []StageEngine, wanted int) []StageChange {
 	zones := map[identifier.ZoneID]int{}
 	have, ready := 0, 0
 	for _, e := range engines {
@@ -74,14 +74,14 @@
 	return changes
 }
 
-// MayLeave returns how many engines of a zone may be given back at once, by how many engines answer in each zone: any
+// MaximumWithdrawals returns how many engines of a zone may be given back at once, by how many engines answer in each zone: any
 // number if enough answer elsewhere, else one if another one answers.
-func MayLeave(answering map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
+func MaximumWithdrawals(answering map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
 	total := 0
 	for _, n := range answering {
 		total += n
 	}
-	switch wanted := Answerers(engines); {
+	switch wanted := WantedDecodeEngines(engines); {
 	case total-answering[zone] >= max(1, wanted-1):
 		return math.MaxInt
 	case total >= 2:
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -18,8 +18,8 @@
 	minimumTargets = 1
 )
 
-// Holding is one target that is held, for a decision on where to order more.
-type Holding struct {
+// TargetState is one target that is held, for a decision on where to order more.
+type TargetState struct {
 	ID       identifier.TargetID
 	Zone     identifier.ZoneID
 	Cheap    bool
@@ -27,10 +27,10 @@
 	Leaving  bool
 }
 
-// Supply is what a decision on target orders depends on; Needed is the demand in targets.
-type Supply struct {
+// TargetInput is what a decision on target orders depends on; Needed is the demand in targets.
+type TargetInput struct {
 	Zones          []identifier.ZoneID
-	Holdings       []Holding
+	Targets       []TargetState
 	Needed         float64
 	Maximum        int
 	SurvivingShare float64
@@ -44,12 +44,12 @@
 	Cheap    bool
 }
 
-// Targets returns the target orders to place now.
-func Targets(s Supply) []TargetChange {
+// PlanTargets returns the target orders to place now.
+func PlanTargets(s TargetInput) []TargetChange {
 	wanted := max(minimumTargets, s.Needed*s.SurvivingShare/fullUse)
-	left := surviving(s.Holdings)
+	left := surviving(s.Targets)
 	switch {
-	case float64(left) < math.Ceil(wanted) && held(s.Holdings) < s.Maximum:
+	case float64(left) < math.Ceil(wanted) && held(s.Targets) < s.Maximum:
 		zone := emptiest(s)
 		if zone == "" {
 			return nil
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func held(holdings []Holding) int {
+func held(holdings []TargetState) int {
 	n := 0
 	for _, h := range holdings {
 		if !h.Leaving {
@@ -72,7 +72,7 @@
 }
 
 // surviving returns how many targets remain if the zone that holds the most is lost.
-func surviving(holdings []Holding) int {
+func surviving(holdings []TargetState) int {
 	byZone := countZones(holdings)
 	worst := 0
 	for _, n := range byZone {
@@ -81,7 +81,7 @@
 	return held(holdings) - worst
 }
 
-func countZones(holdings []Holding) map[identifier.ZoneID]int {
+func countZones(holdings []TargetState) map[identifier.ZoneID]int {
 	byZone := map[identifier.ZoneID]int{}
 	for _, h := range holdings {
 		if !h.Leaving {
@@ -91,8 +91,8 @@
 	return byZone
 }
 
-func emptiest(s Supply) identifier.ZoneID {
-	byZone := countZones(s.Holdings)
+func emptiest(s TargetInput) identifier.ZoneID {
+	byZone := countZones(s.Targets)
 	zones := slices.Clone(s.Zones)
 	slices.SortFunc(zones, func(a, b identifier.ZoneID) int {
 		return cmp.Or(cmp.Compare(byZone[a], byZone[b]), cmp.Compare(a, b))
@@ -103,24 +103,24 @@
 	return zones[0]
 }
 
-func mayBeCheap(s Supply) bool {
+func mayBeCheap(s TargetInput) bool {
 	cheap := 0
-	for _, h := range s.Holdings {
+	for _, h := range s.Targets {
 		if h.Cheap && !h.Leaving {
 			cheap++
 		}
 	}
-	return float64(cheap+1) <= s.CheapShare*float64(held(s.Holdings)+1)
+	return float64(cheap+1) <= s.CheapShare*float64(held(s.Targets)+1)
 }
 
 // withdrawOne gives back an acquired target of the fullest zone, a dear one first.
-func withdrawOne(s Supply) []TargetChange {
-	byZone := countZones(s.Holdings)
-	candidates := slices.DeleteFunc(slices.Clone(s.Holdings), func(h Holding) bool { return !h.Acquired || h.Leaving })
+func withdrawOne(s TargetInput) []TargetChange {
+	byZone := countZones(s.Targets)
+	candidates := slices.DeleteFunc(slices.Clone(s.Targets), func(h TargetState) bool { return !h.Acquired || h.Leaving })
 	if len(candidates) == 0 {
 		return nil
 	}
-	slices.SortFunc(candidates, func(a, b Holding) int {
+	slices.SortFunc(candidates, func(a, b TargetState) int {
 		return cmp.Or(
 			cmp.Compare(byZone[b.Zone], byZone[a.Zone]),
 			cmp.Compare(rankCheap(a), rankCheap(b)),
@@ -129,7 +129,7 @@
 	return []TargetChange{{Withdraw: candidates[0].ID}}
 }
 
-func rankCheap(h Holding) int {
+func rankCheap(h TargetState) int {
 	if h.Cheap {
 		return 1
 	}
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -90,10 +90,10 @@
 }
 
 func (e *Entry) placeRoles(ctx context.Context, model identifier.ModelID, m *modelPlacement, engines []*recorder.Target, short placer.Demand) {
-	situation := placer.Situation{
+	situation := placer.RoleInput{
 		Engines: e.roleEngines(engines), Short: short, Long: m.long, SinceChange: time.Since(m.changedAt),
 	}
-	for _, change := range placer.Roles(situation) {
+	for _, change := range placer.PlanRoles(situation) {
 		m.changedAt = time.Now()
 		e.logger.Info("Place",
 			zap.String("Target", string(change.ID)), zap.String("Role", change.Role.String()),
@@ -174,7 +174,7 @@
 		return
 	}
 	supply := e.supply(scaling, engines, short)
-	for _, change := range placer.Targets(supply) {
+	for _, change := range placer.PlanTargets(supply) {
 		order := &recorder.Order{Kind: recorder.OrderKind_Acquire, Zone: string(change.Zone), Model: string(model), Cheap: change.Cheap, ChecksFence: true}
 		order.Target = string(newTarget(model, string(change.Zone)))
 		if change.Withdraw != "" {
@@ -182,7 +182,7 @@
 		}
 		e.logger.Info("Place",
 			zap.String("Order", order.Kind.String()), zap.String("Target", order.Target), zap.Bool("Cheap", order.Cheap),
-			zap.Float64("Needed", supply.Needed), zap.Int("Held", len(supply.Holdings)))
+			zap.Float64("Needed", supply.Needed), zap.Int("Held", len(supply.Targets)))
 		e.startOrder(order, func() error { return e.orderer.Order(ctx, order) })
 	}
 }
@@ -196,11 +196,11 @@
 	return nil
 }
 
-func (e *Entry) supply(scaling *recorder.Scaling, engines []*recorder.Target, short placer.Demand) placer.Supply {
+func (e *Entry) supply(scaling *recorder.Scaling, engines []*recorder.Target, short placer.Demand) placer.TargetInput {
 	state := e.view.Load().State
-	supply := placer.Supply{
+	supply := placer.TargetInput{
 		Maximum: int(scaling.Maximum), SurvivingShare: scaling.SurvivingShare, CheapShare: scaling.CheapShare,
-		Needed: placer.Needed(e.roleEngines(engines), short),
+		Needed: placer.NeededEngines(e.roleEngines(engines), short),
 	}
 	for _, z := range state.GetInventory().GetZones() {
 		if !e.placement.resting(newTarget(identifier.ModelID(scaling.Model), z.ID)) {
@@ -214,7 +214,7 @@
 	_, draining := e.roles()
 	for _, t := range engines {
 		id := identifier.TargetID(t.ID)
-		supply.Holdings = append(supply.Holdings, placer.Holding{
+		supply.Targets = append(supply.Targets, placer.TargetState{
 			ID: id, Zone: identifier.ZoneID(t.Zone), Cheap: t.Cheap, Acquired: !owned[t.ID], Leaving: draining[id] || e.tracker.Leaving(id),
 		})
 	}
