--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -95,7 +95,7 @@
 	book     chooser.Book
 	demand   demander.Demand
 	counts   counter.Counter
-	budget   *retrier.Windowed
+	budget   *retrier.WindowedBudget
 	peers    *gossiper.Gossiper
 	calls    *exchanger.Client
 	elector  *elector.Elector
@@ -175,9 +175,9 @@
 
 func (c *Coordinator) wireRequests() {
 	bounds := c.bounds
-	c.budget = &retrier.Windowed{
+	c.budget = &retrier.WindowedBudget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
-		Members: c.instances,
+		MemberCount: c.instances,
 	}
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -47,8 +47,8 @@
 
 // Budget allows sends beyond the first of a request.
 type Budget interface {
-	Note(service identifier.ServiceID)
-	Take(service identifier.ServiceID) bool
+	AddRequest(service identifier.ServiceID)
+	TakeRetry(service identifier.ServiceID) bool
 }
 
 // Forwarder serves requests; all fields must be set.
@@ -189,7 +189,7 @@
 		j.due = d
 	}
 	j.target = j.route.Pick(rand.Float64())
-	j.f.Budget.Note(j.target)
+	j.f.Budget.AddRequest(j.target)
 	return nil
 }
 
@@ -249,7 +249,7 @@
 
 // mayRepeat tells whether one more send is allowed, and takes it from the budget.
 func (j *job) mayRepeat() bool {
-	return j.call.Body.Whole() && j.sends < j.route.Attempts && time.Until(j.due) > minimumLeft && j.f.Budget.Take(j.target)
+	return j.call.Body.Whole() && j.sends < j.route.Attempts && time.Until(j.due) > minimumLeft && j.f.Budget.TakeRetry(j.target)
 }
 
 // begin counts the request as running, once.
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -78,9 +78,9 @@
 
 type budget struct{ left int }
 
-func (b *budget) Note(identifier.ServiceID) {}
+func (b *budget) AddRequest(identifier.ServiceID) {}
 
-func (b *budget) Take(identifier.ServiceID) bool { b.left--; return b.left >= 0 }
+func (b *budget) TakeRetry(identifier.ServiceID) bool { b.left--; return b.left >= 0 }
 
 const (
 	first  = "id: 1\ndata: a\n\n"
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -84,7 +84,7 @@
 			j.f.Offered(j.target, prompt.Fresh, time.Now())
 		}
 		// The first prompt that is read for a request is free of the budget.
-		if j.reads > 0 && !j.f.Budget.Take(j.target) {
+		if j.reads > 0 && !j.f.Budget.TakeRetry(j.target) {
 			return nil, nil, j.givenUp(notRun("RetryBudgetSpent", comeBack, nil))
 		}
 		j.reads++
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -101,7 +101,7 @@
 }
 
 func (s *Relayer) serveChat(h *chat) {
-	s.Budget.Note()
+	s.Budget.AddRequest()
 	for attempt := 1; ; attempt++ {
 		plan, refusal := s.route(h, attempt)
 		if refusal != nil {
@@ -137,7 +137,7 @@
 		refusal.Message = "the answer took longer than RequestMilliseconds allows"
 	case attempt >= maximumAttempts:
 		refusal.Message = "several targets failed"
-	case !s.Budget.Take():
+	case !s.Budget.TakeRetry():
 		refusal.Message = "a target failed and the retry budget is spent"
 	default:
 		return nil
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -78,7 +78,7 @@
 
 // serveService sends a call without a record: again only if it may be repeated or did not leave this instance.
 func (s *Relayer) serveService(v *serviceCall) {
-	s.Budget.Note()
+	s.Budget.AddRequest()
 	run := answerer.NotRun
 	for attempt := 1; ; attempt++ {
 		answer, refusal, err := s.sendOnce(v, attempt)
@@ -94,7 +94,7 @@
 		if !notSent {
 			run = answerer.Unknown
 		}
-		if attempt < maximumAttempts && (notSent || v.repeatable()) && v.ctx.Err() == nil && s.Budget.Take() {
+		if attempt < maximumAttempts && (notSent || v.repeatable()) && v.ctx.Err() == nil && s.Budget.TakeRetry() {
 			continue
 		}
 		s.refuse(v.call, targetFailed(run))
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -4,26 +4,26 @@
 
 // Budget allows retries up to a share of the requests seen; the zero value allows none.
 type Budget struct {
-	// Share is the number of retries earned by each request.
-	Share float64
-	// Reserve is the greatest number of retries that can be saved up.
-	Reserve float64
+	// Ratio is the number of retries earned by each request.
+	Ratio float64
+	// Burst is the greatest number of retries that can be saved up.
+	Burst float64
 
 	mu      sync.Mutex
 	started bool
 	saved   float64
 }
 
-// Note counts a request.
-func (b *Budget) Note() {
+// AddRequest counts a request.
+func (b *Budget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
-	b.saved = min(b.Reserve, b.saved+b.Share)
+	b.saved = min(b.Burst, b.saved+b.Ratio)
 }
 
-// Take reports whether one more retry is allowed, and spends it.
-func (b *Budget) Take() bool {
+// TakeRetry reports whether one more retry is allowed, and spends it.
+func (b *Budget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
@@ -38,6 +38,6 @@
 func (b *Budget) start() {
 	if !b.started {
 		b.started = true
-		b.saved = b.Reserve
+		b.saved = b.Burst
 	}
 }
--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -15,15 +15,15 @@
 	safety = 0.7
 )
 
-// Windowed is one instance's share of a budget that all instances have in common; fields must be set before use.
+// WindowedBudget is one instance's share of a budget that all instances have in common; fields must be set before use.
 //
 // In any window the retries of all instances stay under Ratio times the requests plus Slack: each instance takes
 // Ratio of its own requests, and an even part of the slack.
-type Windowed struct {
+type WindowedBudget struct {
 	Ratio   float64
 	Slack   float64
 	Window  time.Duration
-	Members func() int
+	MemberCount func() int
 
 	mu       sync.Mutex
 	services map[identifier.ServiceID]*sliding
@@ -35,20 +35,20 @@
 	at       int64
 }
 
-// Note counts a request to a service.
-func (w *Windowed) Note(service identifier.ServiceID) {
+// AddRequest counts a request to a service.
+func (w *WindowedBudget) AddRequest(service identifier.ServiceID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
 	s.requests[s.at%int64(len(s.requests))]++
 }
 
-// Take reports whether one more retry to a service is allowed, and spends it.
-func (w *Windowed) Take(service identifier.ServiceID) bool {
+// TakeRetry reports whether one more retry to a service is allowed, and spends it.
+func (w *WindowedBudget) TakeRetry(service identifier.ServiceID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
-	allowed := safety * (w.Ratio*sum(s.requests) + w.Slack/float64(max(1, w.Members())))
+	allowed := safety * (w.Ratio*sum(s.requests) + w.Slack/float64(max(1, w.MemberCount())))
 	if sum(s.retries)+1 > allowed {
 		return false
 	}
@@ -57,7 +57,7 @@
 }
 
 // slide empties the buckets that have left the window.
-func (w *Windowed) slide(service identifier.ServiceID, now time.Time) *sliding {
+func (w *WindowedBudget) slide(service identifier.ServiceID, now time.Time) *sliding {
 	if w.services == nil {
 		w.services = map[identifier.ServiceID]*sliding{}
 	}
--- a/internal/retrier/windowed_test.go
+++ b/internal/retrier/windowed_test.go
@@ -14,19 +14,19 @@
 func TestWindowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, ratio, slack = 8, 0.2, 56.0
-		var all []*retrier.Windowed
+		var all []*retrier.WindowedBudget
 		for range members {
-			all = append(all, &retrier.Windowed{Ratio: ratio, Slack: slack, Window: 10 * time.Second, Members: func() int { return members }})
+			all = append(all, &retrier.WindowedBudget{Ratio: ratio, Slack: slack, Window: 10 * time.Second, MemberCount: func() int { return members }})
 		}
 		var requests, retries []int
 		for tick := range 600 {
 			requests, retries = append(requests, 0), append(retries, 0)
 			for _, w := range all {
 				if tick%2 == 0 {
-					w.Note("s")
+					w.AddRequest("s")
 					requests[tick]++
 				}
-				for w.Take("s") {
+				for w.TakeRetry("s") {
 					retries[tick]++
 				}
 			}
