--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -199,7 +199,7 @@
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
-		if left := max(0, s.Engine.Switch-(orderkeeper.SettleTime-o.Remaining)); !found || left < soonest {
+		if left := max(0, s.Engine.SwitchTime-(orderkeeper.SettleTime-o.Remaining)); !found || left < soonest {
 			soonest, found = left, true
 		}
 	}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -179,7 +179,7 @@
 	if j.route == nil {
 		return j.unknown(http.StatusNotFound, "UnknownRoute")
 	}
-	if table.Keyed() && !j.route.Public {
+	if table.RequiresKey() && !j.route.Public {
 		if j.team = table.Team(j.call.Key); j.team == nil {
 			return j.unknown(http.StatusUnauthorized, "UnknownKey")
 		}
@@ -188,7 +188,7 @@
 	if d := j.start.Add(j.call.Deadline); j.call.Deadline > 0 && d.Before(j.due) {
 		j.due = d
 	}
-	j.target = j.route.Pick(rand.Float64())
+	j.target = j.route.PickService(rand.Float64())
 	j.f.Budget.AddRequest(j.target)
 	return nil
 }
@@ -215,7 +215,7 @@
 		freshness = keptFreshness
 	}
 	return &Send{
-		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.Rank(j.route, j.team),
+		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.EffectivePriority(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connections(),
 	}
 }
@@ -241,7 +241,7 @@
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
 func (j *job) answerTarget() (chooser.Verdict, bool) {
 	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
-	if j.route.Prompted {
+	if j.route.HasPrompts {
 		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
 	}
 	return j.f.Chooser.Plain(j.f.Zone, plainWork, list)
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -100,7 +100,7 @@
 	if route.Attempts == 0 {
 		route.Attempts = 2
 	}
-	route.Shares = []matcher.Share{{Service: "s", Weight: 1}}
+	route.Services = []matcher.WeightedService{{Service: "s", Weight: 1}}
 	table := matcher.New(matcher.Configuration{Version: 1, Routes: []matcher.Route{route}, Teams: []matcher.Team{{ID: "team", Keys: []string{"key"}}},
 		Services: []matcher.Service{{ID: "s", ConnectionLimit: 110}}})
 	targets := []*registrar.Target{{ID: "p1", Stage: registrar.PrefillStage}, {ID: "p2", Stage: registrar.PrefillStage}, {ID: "a1", Stage: registrar.DecodeStage}, {ID: "a2", Stage: registrar.DecodeStage}}
@@ -109,7 +109,7 @@
 	}
 	if route.ID == "no service" {
 		targets = nil
-	} else if !route.Prompted {
+	} else if !route.HasPrompts {
 		targets = []*registrar.Target{{ID: "x1"}, {ID: "x2"}}
 	}
 	f := &forwarder.Forwarder{
@@ -210,7 +210,7 @@
 		"a target's own failure is passed on":    {false, 1, nil, []step{{status: 500, body: "bad"}}, 9, 500, "bad", false, 1, 1},
 	} {
 		b := &backend{runs: tc.runs, reads: tc.reads}
-		route := matcher.Route{Kind: matcher.Stream, Prompted: true, Resumable: tc.resumable, Attempts: tc.attempts}
+		route := matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: tc.resumable, Attempts: tc.attempts}
 		out := serve(b, route, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 100}}}, tc.budget)
 		quicktest.Check(t, out.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
 		if tc.body != "" {
@@ -224,7 +224,7 @@
 
 func TestResumptionKeepsTheFirstHead(t *testing.T) {
 	b := &backend{runs: []step{{status: 200, body: first, torn: true}, {status: 200, body: second}}}
-	out := serve(b, matcher.Route{Kind: matcher.Stream, Prompted: true, Resumable: true}, &forwarder.Call{}, 5)
+	out := serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: true}, &forwarder.Call{}, 5)
 	quicktest.Assert(t, out.Header().Get("X-Test-Seal"), quicktest.Equals, string(b.sent[0].Target.ID))
 	quicktest.Assert(t, b.sent[1].LastEvent, quicktest.Equals, "1")
 	quicktest.Assert(t, b.sent[1].Target.ID == b.sent[0].Target.ID, quicktest.IsFalse)
@@ -232,7 +232,7 @@
 
 // TestReturnWhenATargetIsExpected answers the seconds in which all targets for answers were lost and others are changing.
 func TestReturnWhenATargetIsExpected(t *testing.T) {
-	out := serve(&backend{}, matcher.Route{ID: "changing", Kind: matcher.Stream, Prompted: true}, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 10}}}, 0)
+	out := serve(&backend{}, matcher.Route{ID: "changing", Kind: matcher.Stream, HasPrompts: true}, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 10}}}, 0)
 	quicktest.Assert(t, out.Code, quicktest.Equals, http.StatusServiceUnavailable)
 	back, err := strconv.ParseFloat(out.Header().Get("Retry-After"), 64)
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -249,7 +249,7 @@
 	quicktest.Check(t, out.aborted, quicktest.IsTrue)
 	// A prompt whose answer does not come as events goes to the targets for answers.
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
-	out = serve(b, matcher.Route{Kind: matcher.Safe, Prompted: true}, &forwarder.Call{}, 0)
+	out = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
 	quicktest.Check(t, out.Body.String(), quicktest.Equals, "ok")
 	quicktest.Check(t, b.sent[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
 }
@@ -267,7 +267,7 @@
 	quicktest.Check(t, out.Code, quicktest.Equals, http.StatusBadGateway)
 	quicktest.Check(t, b.sent, quicktest.HasLen, 1)
 	b = &backend{runs: []step{notSent, {status: 200, body: first}}}
-	out = serve(b, matcher.Route{Kind: matcher.Stream, Prompted: true}, long(), 5)
+	out = serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true}, long(), 5)
 	quicktest.Check(t, out.Body.String(), quicktest.Equals, first)
 	quicktest.Check(t, b.prompts, quicktest.Equals, 0, quicktest.Commentf("the body goes to one target only"))
 }
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -68,7 +68,7 @@
 		if !ok {
 			return nil, nil, j.noTarget()
 		}
-		if !j.route.Prompted {
+		if !j.route.HasPrompts {
 			return answer.Target, nil, nil
 		}
 		prompts := j.candidates(j.call.Parts, registrar.PrefillStage)
--- a/internal/matcher/configuration.go
+++ b/internal/matcher/configuration.go
@@ -19,8 +19,8 @@
 	Stream
 )
 
-// Share is a service's part of a route's requests.
-type Share struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service identifier.ServiceID
 	Weight  float64
 }
@@ -35,14 +35,14 @@
 	Timeout time.Duration
 	// Latency is the promised time to the answer or first event.
 	Latency time.Duration
-	// Pause is the longest promised time between two events.
-	Pause time.Duration
+	// MaximumEventGap is the longest promised time between two events.
+	MaximumEventGap time.Duration
 	// Priority ranks routes; 0 comes first.
 	Priority  int
-	Shares    []Share
+	Services    []WeightedService
 	Attempts  int
 	Public    bool
-	Prompted  bool
+	HasPrompts  bool
 	Resumable bool
 }
 
@@ -53,18 +53,18 @@
 type Engine struct {
 	Slots       int
 	CacheTokens identifier.Tokens
-	// Switch is how long a change of role takes.
-	Switch time.Duration
-	// HandleLife is how long an exported KV cache is kept.
-	HandleLife time.Duration
+	// SwitchTime is how long a change of role takes.
+	SwitchTime time.Duration
+	// HandleLifetime is how long an exported KV cache is kept.
+	HandleLifetime time.Duration
 }
 
 // Scaling bounds how many targets of a service may be ordered, in each availability zone.
 type Scaling struct {
 	Minimum    int
 	Maximum    int
-	Boot       time.Duration
-	CheapPrice float64
+	BootTime       time.Duration
+	CheapPriceFraction float64
 	Prices     map[identifier.ZoneID]float64
 }
 
--- a/internal/matcher/table.go
+++ b/internal/matcher/table.go
@@ -59,30 +59,30 @@
 // Team returns the team that holds the key, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// Keyed tells that requests need a key unless their route is public.
-func (t *Table) Keyed() bool { return len(t.Teams) > 0 }
+// RequiresKey tells that requests need a key unless their route is public.
+func (t *Table) RequiresKey() bool { return len(t.Teams) > 0 }
 
-// Pick returns the service at a point from 0 to 1 of the route's weights.
-func (r *Route) Pick(point float64) identifier.ServiceID {
+// PickService returns the service at a point from 0 to 1 of the route's weights.
+func (r *Route) PickService(point float64) identifier.ServiceID {
 	total := 0.0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		total += s.Weight
 	}
 	left := point * total
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		if left < s.Weight {
 			return s.Service
 		}
 		left -= s.Weight
 	}
-	if len(r.Shares) == 0 {
+	if len(r.Services) == 0 {
 		return ""
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
 
-// Rank is the urgency of a request: the team's, where it has one, goes before the route's.
-func Rank(r *Route, team *Team) int {
+// EffectivePriority is the urgency of a request: the team's, where it has one, goes before the route's.
+func EffectivePriority(r *Route, team *Team) int {
 	if team != nil && team.Priority != nil {
 		return *team.Priority
 	}
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -101,7 +101,7 @@
 	}
 	situation := placer.FleetInput{
 		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
-		PeakLoad: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPrice,
+		PeakLoad: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
 	}
 	for _, z := range fleet {
 		situation.Zones = append(situation.Zones, z)
@@ -197,7 +197,7 @@
 	if s.sent == nil {
 		s.sent = map[lot]standing{}
 	}
-	wait := service.Scaling.Boot + arrivalSlack
+	wait := service.Scaling.BootTime + arrivalSlack
 	if err != nil {
 		wait = refusedPause
 	}
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -142,7 +142,7 @@
 				}
 			}
 			table := matcher.New(matcher.Configuration{Services: []matcher.Service{{
-				ID: "s", Engine: &matcher.Engine{Slots: 64}, Scaling: &matcher.Scaling{Minimum: 1, Maximum: 6, Boot: boot, Prices: prices},
+				ID: "s", Engine: &matcher.Engine{Slots: 64}, Scaling: &matcher.Scaling{Minimum: 1, Maximum: 6, BootTime: boot, Prices: prices},
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
