--- a/internal/limiter/admission.go
+++ b/internal/limiter/admission.go
@@ -27,9 +27,9 @@
 
 // Decision tells whether a request is admitted and, where it is not, when to come back.
 type Decision struct {
-	Admitted bool
-	Reason   string
-	RetryAfter   time.Duration
+	Admitted   bool
+	Reason     string
+	RetryAfter time.Duration
 }
 
 // Admit refuses what cannot be served within the promise, and under overload what exceeds the team's share.
--- a/internal/matcher/configuration.go
+++ b/internal/matcher/configuration.go
@@ -38,12 +38,12 @@
 	// MaximumEventGap is the longest promised time between two events.
 	MaximumEventGap time.Duration
 	// Priority ranks routes; 0 comes first.
-	Priority  int
-	Services    []WeightedService
-	Attempts  int
-	Public    bool
-	HasPrompts  bool
-	Resumable bool
+	Priority   int
+	Services   []WeightedService
+	Attempts   int
+	Public     bool
+	HasPrompts bool
+	Resumable  bool
 }
 
 // Repeatable tells that a request of the route may run again from its beginning.
@@ -61,11 +61,11 @@
 
 // Scaling bounds how many targets of a service may be ordered, in each availability zone.
 type Scaling struct {
-	Minimum    int
-	Maximum    int
-	BootTime       time.Duration
+	Minimum            int
+	Maximum            int
+	BootTime           time.Duration
 	CheapPriceFraction float64
-	Prices     map[identifier.ZoneID]float64
+	Prices             map[identifier.ZoneID]float64
 }
 
 // Service is a group of alike targets.
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -30,7 +30,7 @@
 // TargetInput is what a decision on target orders depends on; Needed is the demand in targets.
 type TargetInput struct {
 	Zones          []identifier.ZoneID
-	Targets       []TargetState
+	Targets        []TargetState
 	Needed         float64
 	Maximum        int
 	SurvivingShare float64
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -176,10 +176,10 @@
 
 // StageOrder is a change of stage that is not over yet.
 type StageOrder struct {
-	Target  identifier.TargetID
-	Service identifier.ServiceID
-	Stage   Stage
-	Remaining    time.Duration
+	Target    identifier.TargetID
+	Service   identifier.ServiceID
+	Stage     Stage
+	Remaining time.Duration
 }
 
 // PendingOrders returns the changes of stages that are not over yet.
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -150,8 +150,8 @@
 	req := router.Request{
 		Zone:         s.Zone,
 		PromptTokens: h.prompt + identifier.Tokens(h.delivered),
-		Parts:       h.pieces,
-		Random:         xxhash.Sum64String(string(h.id)) + uint64(attempt),
+		Parts:        h.pieces,
+		Random:       xxhash.Sum64String(string(h.id)) + uint64(attempt),
 		Allowed:      func(id identifier.TargetID) bool { return h.view.MayUse(h.team, id) },
 		Excluded:     func(id identifier.TargetID) bool { return h.tried[id] },
 	}
@@ -208,7 +208,7 @@
 	rate, share := s.Share(h.team, identifier.ModelID(h.request.Model))
 	verdict := limiter.Admit(limiter.AdmissionInput{
 		Predicted: plan.Predicted,
-		LateShare:      plan.Late,
+		LateShare: plan.Late,
 		Promised:  time.Duration(h.view.Promise().GetFirstTokenMilliseconds()) * time.Millisecond,
 		TeamRate:  rate,
 		TeamShare: share,
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -124,7 +124,7 @@
 func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Handle, *answerer.Refusal) {
 	req := &router.Request{
 		Zone:        s.Zone,
-		Random:        xxhash.Sum64String(string(v.id)) + uint64(attempt),
+		Random:      xxhash.Sum64String(string(v.id)) + uint64(attempt),
 		RefuseCheap: !v.repeatable(),
 		Allowed:     func(id identifier.TargetID) bool { return v.view.MayUse(v.team, id) },
 		Excluded:    func(id identifier.TargetID) bool { return v.tried[id] },
--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -20,9 +20,9 @@
 // In any window the retries of all instances stay under Ratio times the requests plus Slack: each instance takes
 // Ratio of its own requests, and an even part of the slack.
 type WindowedBudget struct {
-	Ratio   float64
-	Slack   float64
-	Window  time.Duration
+	Ratio       float64
+	Slack       float64
+	Window      time.Duration
 	MemberCount func() int
 
 	mu       sync.Mutex
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,19 +47,19 @@
 	Role             recorder.Role
 	Cheap            bool
 	Usable           bool
-	AddedAt            time.Time
+	AddedAt          time.Time
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int64
 	// BatchLimit is the number of answers at which tokens still come in time, as observed.
-	BatchLimit  int64
-	Running   int64
-	FreeAt time.Time
+	BatchLimit int64
+	Running    int64
+	FreeAt     time.Time
 	// PrefillSlowdown is how much longer prompts take than the prefill rate says, as observed; zero means 1.
 	PrefillSlowdown float64
 	// LateShare is the share of recent tokens that came later than promised after the one before.
-	LateShare  float64
-	Cache Cache
+	LateShare float64
+	Cache     Cache
 }
 
 // Request is what the choice depends on.
@@ -67,10 +67,10 @@
 	Zone         identifier.ZoneID
 	Role         recorder.Role
 	PromptTokens identifier.Tokens
-	Parts       []uint64
-	Random         uint64
+	Parts        []uint64
+	Random       uint64
 	// Prefilled tells that the prompt's KV cache is imported from another target.
-	Prefilled    bool
+	Prefilled   bool
 	RefuseCheap bool
 	Allowed     func(identifier.TargetID) bool
 	Excluded    func(identifier.TargetID) bool
@@ -81,15 +81,15 @@
 	Index     int
 	Predicted time.Duration
 	Cost      time.Duration
-	LateShare      float64
+	LateShare float64
 	Cached    identifier.Tokens
 }
 
 // Choice is the outcome of a decision; Scores lists what was compared.
 type Choice struct {
-	Best   Score
-	Scores [maximumDraws]Score
-	Compared  int
+	Best     Score
+	Scores   [maximumDraws]Score
+	Compared int
 }
 
 // Choose returns the best candidate for a request, or false where none is usable.
