--- a/internal/evaluator/capacity_test.go
+++ b/internal/evaluator/capacity_test.go
@@ -133,13 +133,13 @@
 	for i := range candidates {
 		candidates[i] = router.Candidate{
 			ID: identifier.TargetID(fmt.Sprint(i)), Hash: uint64(i) * 0x9e3779b97f4a7c15, Zone: identifier.ZoneID(fmt.Sprint("zone-", i%6)),
-			Usable: true, PrefillPerSecond: prefillRate, Slots: engineSlots, Batch: engineSlots,
+			Usable: true, PrefillPerSecond: prefillRate, Slots: engineSlots, BatchLimit: engineSlots,
 		}
 	}
-	req := &router.Request{Zone: "zone-1", PromptTokens: 4000, Pieces: []uint64{1, 2}}
+	req := &router.Request{Zone: "zone-1", PromptTokens: 4000, Parts: []uint64{1, 2}}
 	now := time.Now()
 	return micros(func() {
-		req.Draw++
+		req.Random++
 		router.Choose(now, req, candidates)
 	})
 }
@@ -153,12 +153,12 @@
 }
 
 func placeCost(n int) float64 {
-	s := placer.Situation{Short: placer.Demand{Prompt: float64(n) * 60, Output: float64(n) * 10}, SinceChange: time.Hour}
+	s := placer.RoleInput{Short: placer.Demand{Prompt: float64(n) * 60, Output: float64(n) * 10}, SinceChange: time.Hour}
 	s.Long = s.Short
 	for i := range n {
 		s.Engines = append(s.Engines, placer.Engine{ID: identifier.TargetID(fmt.Sprint(i)), Zone: identifier.ZoneID(fmt.Sprint(i % 6)), Orderable: true, PrefillPerSecond: 100, DecodePerSecond: 100})
 	}
-	return micros(func() { placer.Roles(s) })
+	return micros(func() { placer.PlanRoles(s) })
 }
 
 func beatOf(n int) []byte {
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -47,8 +47,8 @@
 
 // Budget allows sends beyond the first of a request.
 type Budget interface {
-	Note(service identifier.ServiceID)
-	Take(service identifier.ServiceID) bool
+	AddRequest(service identifier.ServiceID)
+	TakeRetry(service identifier.ServiceID) bool
 }
 
 // Forwarder serves requests; all fields must be set.
@@ -179,7 +179,7 @@
 	if j.route == nil {
 		return j.unknown(http.StatusNotFound, "UnknownRoute")
 	}
-	if table.Keyed() && !j.route.Public {
+	if table.RequiresKey() && !j.route.Public {
 		if j.team = table.Team(j.call.Key); j.team == nil {
 			return j.unknown(http.StatusUnauthorized, "UnknownKey")
 		}
@@ -188,8 +188,8 @@
 	if d := j.start.Add(j.call.Deadline); j.call.Deadline > 0 && d.Before(j.due) {
 		j.due = d
 	}
-	j.target = j.route.Pick(rand.Float64())
-	j.f.Budget.Note(j.target)
+	j.target = j.route.PickService(rand.Float64())
+	j.f.Budget.AddRequest(j.target)
 	return nil
 }
 
@@ -215,7 +215,7 @@
 		freshness = keptFreshness
 	}
 	return &Send{
-		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.Rank(j.route, j.team),
+		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.EffectivePriority(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connections(),
 	}
 }
@@ -240,8 +240,8 @@
 
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
 func (j *job) answerTarget() (chooser.Verdict, bool) {
-	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
-	if j.route.Prompted {
+	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
+	if j.route.HasPrompts {
 		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
 	}
 	return j.f.Chooser.Plain(j.f.Zone, plainWork, list)
@@ -249,7 +249,7 @@
 
 // mayRepeat tells whether one more send is allowed, and takes it from the budget.
 func (j *job) mayRepeat() bool {
-	return j.call.Body.Whole() && j.sends < j.route.Attempts && time.Until(j.due) > minimumLeft && j.f.Budget.Take(j.target)
+	return j.call.Body.Whole() && j.sends < j.route.Attempts && time.Until(j.due) > minimumLeft && j.f.Budget.TakeRetry(j.target)
 }
 
 // begin counts the request as running, once.
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -68,10 +68,10 @@
 		if !ok {
 			return nil, nil, j.noTarget()
 		}
-		if !j.route.Prompted {
+		if !j.route.HasPrompts {
 			return answer.Target, nil, nil
 		}
-		prompts := j.candidates(j.call.Parts, registrar.Prompts)
+		prompts := j.candidates(j.call.Parts, registrar.PrefillStage)
 		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Draw: j.draw()}, prompts)
 		if !ok && j.promptsFailed && j.call.Body.Whole() {
 			return nil, nil, j.givenUp(notRun("PromptTargetsFailed", comeBack, nil))
@@ -84,7 +84,7 @@
 			j.f.Offered(j.target, prompt.Fresh, time.Now())
 		}
 		// The first prompt that is read for a request is free of the budget.
-		if j.reads > 0 && !j.f.Budget.Take(j.target) {
+		if j.reads > 0 && !j.f.Budget.TakeRetry(j.target) {
 			return nil, nil, j.givenUp(notRun("RetryBudgetSpent", comeBack, nil))
 		}
 		j.reads++
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -32,20 +32,20 @@
 	Stage registrar.Stage
 }
 
-// Answerers returns how many of so many engines should generate answers.
-func Answerers(engines int) int {
+// WantedDecodeEngines returns how many of so many engines should generate answers.
+func WantedDecodeEngines(engines int) int {
 	if engines <= 1 {
 		return engines
 	}
 	return min(engines-1, max(1, int(math.Round(answerShare*float64(engines)))))
 }
 
-// Split returns the changes that bring the number of answering engines to wanted.
-func Split(engines []StageEngine, wanted int) []StageChange {
+// PlanStages returns the changes that bring the number of answering engines to wanted.
+func PlanStages(engines []StageEngine, wanted int) []StageChange {
 	zones := map[identifier.ZoneID]int{}
 	have, ready := 0, 0
 	for _, e := range engines {
-		if e.Stage == registrar.Answers {
+		if e.Stage == registrar.DecodeStage {
 			have++
 			zones[e.Zone]++
 			if !e.Busy {
@@ -55,33 +55,33 @@
 	}
 	var changes []StageChange
 	for ; have < wanted; have++ {
-		e := pick(engines, registrar.Prompts, func(a StageEngine) int { return zones[a.Zone] })
+		e := pick(engines, registrar.PrefillStage, func(a StageEngine) int { return zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]++
-		changes = append(changes, change(e, registrar.Answers))
+		changes = append(changes, change(e, registrar.DecodeStage))
 	}
 	// Engines that are still changing answer nothing yet.
 	for ; ready > wanted; ready-- {
-		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -zones[a.Zone] })
+		e := pick(engines, registrar.DecodeStage, func(a StageEngine) int { return -zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]--
-		changes = append(changes, change(e, registrar.Prompts))
+		changes = append(changes, change(e, registrar.PrefillStage))
 	}
 	return changes
 }
 
-// MayLeave returns how many engines of a zone may be given back at once, by how many engines answer in each zone: any
+// MaximumWithdrawals returns how many engines of a zone may be given back at once, by how many engines answer in each zone: any
 // number if enough answer elsewhere, else one if another one answers.
-func MayLeave(answering map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
+func MaximumWithdrawals(answering map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
 	total := 0
 	for _, n := range answering {
 		total += n
 	}
-	switch wanted := Answerers(engines); {
+	switch wanted := WantedDecodeEngines(engines); {
 	case total-answering[zone] >= max(1, wanted-1):
 		return math.MaxInt
 	case total >= 2:
@@ -111,7 +111,7 @@
 }
 
 func cheapRank(e StageEngine, from registrar.Stage) int {
-	if e.Cheap == (from == registrar.Prompts) {
+	if e.Cheap == (from == registrar.PrefillStage) {
 		return 1
 	}
 	return 0
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -78,7 +78,7 @@
 
 // serveService sends a call without a record: again only if it may be repeated or did not leave this instance.
 func (s *Relayer) serveService(v *serviceCall) {
-	s.Budget.Note()
+	s.Budget.AddRequest()
 	run := answerer.NotRun
 	for attempt := 1; ; attempt++ {
 		answer, refusal, err := s.sendOnce(v, attempt)
@@ -94,7 +94,7 @@
 		if !notSent {
 			run = answerer.Unknown
 		}
-		if attempt < maximumAttempts && (notSent || v.repeatable()) && v.ctx.Err() == nil && s.Budget.Take() {
+		if attempt < maximumAttempts && (notSent || v.repeatable()) && v.ctx.Err() == nil && s.Budget.TakeRetry() {
 			continue
 		}
 		s.refuse(v.call, targetFailed(run))
@@ -124,7 +124,7 @@
 func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Handle, *answerer.Refusal) {
 	req := &router.Request{
 		Zone:        s.Zone,
-		Draw:        xxhash.Sum64String(string(v.id)) + uint64(attempt),
+		Random:      xxhash.Sum64String(string(v.id)) + uint64(attempt),
 		RefuseCheap: !v.repeatable(),
 		Allowed:     func(id identifier.TargetID) bool { return v.view.MayUse(v.team, id) },
 		Excluded:    func(id identifier.TargetID) bool { return v.tried[id] },
