--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -105,8 +105,8 @@
 	return most
 }
 
-// Verdict is a choice with the prediction that decided it.
-type Verdict struct {
+// Choice is a choice with the prediction that decided it.
+type Choice struct {
 	Target    *registrar.Target
 	Predicted time.Duration
 	// Fresh is how many tokens of the prompt the target has to compute.
@@ -114,8 +114,8 @@
 }
 
 // PromptTarget returns the target that computes a prompt soonest, or false without candidates.
-func PromptTarget(p *Prompt, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func PromptTarget(p *Prompt, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	total := p.Tokens()
 	home := homeOf(p, candidates)
@@ -123,7 +123,7 @@
 	shared := p.shared()
 	for i := range candidates {
 		c := &candidates[i]
-		v := Verdict{Target: c.Target, Fresh: max(0, total-c.Cached)}
+		v := Choice{Target: c.Target, Fresh: max(0, total-c.Cached)}
 		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Fresh)
 		cost := v.Predicted + handicap(c, p.Zone)
 		// A holder of only the first parts, which are common to most requests, is no reason not to read them at home.
@@ -142,8 +142,8 @@
 }
 
 // AnswerTarget returns the target whose batch suffers least, or false without candidates.
-func AnswerTarget(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func AnswerTarget(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
@@ -152,15 +152,15 @@
 			cost += time.Second
 		}
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = Verdict{Target: c.Target, Predicted: cost}, cost
+			best, bestCost = Choice{Target: c.Target, Predicted: cost}, cost
 		}
 	}
 	return best, best.Target != nil
 }
 
 // PlainTarget returns the target of a plain service with the shortest queue for its slots, or false without candidates.
-func PlainTarget(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func PlainTarget(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
@@ -168,7 +168,7 @@
 		wait := work * time.Duration(c.Load.Answers) / time.Duration(slots)
 		cost := wait + handicap(c, zone)/8
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = Verdict{Target: c.Target, Predicted: wait + work}, cost
+			best, bestCost = Choice{Target: c.Target, Predicted: wait + work}, cost
 		}
 	}
 	return best, best.Target != nil
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -47,7 +47,7 @@
 	list := targets(6, registrar.Prompts)
 	var book chooser.Book
 	book.Read("t3", parts(1, 2)[:1], now)
-	choose := func() chooser.Verdict {
+	choose := func() chooser.Choice {
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts(1, 9)}, book.Candidates(list, parts(1, 9), now))
 		return v
 	}
--- a/internal/chooser/policy.go
+++ b/internal/chooser/policy.go
@@ -32,7 +32,7 @@
 }
 
 // Prompt returns the target that computes a prompt, or false without candidates.
-func (c *Chooser) Prompt(p *Prompt, candidates []Candidate) (Verdict, bool) {
+func (c *Chooser) Prompt(p *Prompt, candidates []Candidate) (Choice, bool) {
 	if c.predicts() {
 		return PromptTarget(p, candidates)
 	}
@@ -42,7 +42,7 @@
 }
 
 // Answer returns the target that generates an answer, or false without candidates.
-func (c *Chooser) Answer(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Verdict, bool) {
+func (c *Chooser) Answer(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Choice, bool) {
 	if c.predicts() {
 		return AnswerTarget(zone, draw, candidates)
 	}
@@ -50,7 +50,7 @@
 }
 
 // Plain returns the target of a plain service, or false without candidates.
-func (c *Chooser) Plain(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Verdict, bool) {
+func (c *Chooser) Plain(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Choice, bool) {
 	if c.predicts() {
 		return PlainTarget(zone, work, candidates)
 	}
@@ -59,13 +59,13 @@
 
 func (c *Chooser) predicts() bool { return c.Policy == Predicted || c.Policy == "" }
 
-func (c *Chooser) baseline(candidates []Candidate, work func(Load) int) (Verdict, bool) {
+func (c *Chooser) baseline(candidates []Candidate, work func(Load) int) (Choice, bool) {
 	if len(candidates) == 0 {
-		return Verdict{}, false
+		return Choice{}, false
 	}
 	if c.Policy == RoundRobin {
-		return Verdict{Target: candidates[c.turn.Add(1)%uint64(len(candidates))].Target}, true
+		return Choice{Target: candidates[c.turn.Add(1)%uint64(len(candidates))].Target}, true
 	}
 	least := slices.MinFunc(candidates, func(a, b Candidate) int { return cmp.Compare(work(a.Load), work(b.Load)) })
-	return Verdict{Target: least.Target}, true
+	return Choice{Target: least.Target}, true
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -239,7 +239,7 @@
 }
 
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
-func (j *job) answerTarget() (chooser.Verdict, bool) {
+func (j *job) answerTarget() (chooser.Choice, bool) {
 	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
 	if j.route.Prompted {
 		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -130,7 +130,7 @@
 }
 
 // read has the prompt computed.
-func (j *job) read(ctx context.Context, v chooser.Verdict) (*Handle, error) {
+func (j *job) read(ctx context.Context, v chooser.Choice) (*Handle, error) {
 	end := j.f.Book.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Fresh}, time.Now())
 	defer end()
 	started := time.Now()
