--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -109,8 +109,8 @@
 type Choice struct {
 	Target    *registrar.Target
 	Predicted time.Duration
-	// Fresh is how many tokens of the prompt the target has to compute.
-	Fresh identifier.Tokens
+	// Uncached is how many tokens of the prompt the target has to compute.
+	Uncached identifier.Tokens
 }
 
 // PromptTarget returns the target that computes a prompt soonest, or false without candidates.
@@ -123,8 +123,8 @@
 	shared := p.shared()
 	for i := range candidates {
 		c := &candidates[i]
-		v := Choice{Target: c.Target, Fresh: max(0, total-c.Cached)}
-		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Fresh)
+		v := Choice{Target: c.Target, Uncached: max(0, total-c.Cached)}
+		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Uncached)
 		cost := v.Predicted + handicap(c, p.Zone)
 		// A holder of only the first parts, which are common to most requests, is no reason not to read them at home.
 		if held >= shared {
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -53,7 +53,7 @@
 	}
 	v := choose()
 	quicktest.Assert(t, v.Target.ID, quicktest.Equals, identifier.TargetID("t3"))
-	quicktest.Assert(t, int(v.Fresh), quicktest.Equals, 3_700)
+	quicktest.Assert(t, int(v.Uncached), quicktest.Equals, 3_700)
 	book.Begin("t3", chooser.Load{PromptTokens: 8_000}, now)
 	quicktest.Assert(t, choose().Target.ID, quicktest.Equals, identifier.TargetID("t3"))
 	end := book.Begin("t3", chooser.Load{PromptTokens: 20_000}, now)
--- a/internal/chooser/policy.go
+++ b/internal/chooser/policy.go
@@ -37,7 +37,7 @@
 		return PromptTarget(p, candidates)
 	}
 	v, ok := c.baseline(candidates, func(l Load) int { return int(l.PromptTokens) })
-	v.Fresh = p.Tokens()
+	v.Uncached = p.Tokens()
 	return v, ok
 }
 
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -81,7 +81,7 @@
 			return answer.Target, nil, nil
 		}
 		if j.sends == 0 && len(j.failed) == 0 {
-			j.f.Offered(j.target, prompt.Fresh, time.Now())
+			j.f.Offered(j.target, prompt.Uncached, time.Now())
 		}
 		// The first prompt that is read for a request is free of the budget.
 		if j.reads > 0 && !j.f.Budget.Take(j.target) {
@@ -131,7 +131,7 @@
 
 // read has the prompt computed.
 func (j *job) read(ctx context.Context, v chooser.Choice) (*Handle, error) {
-	end := j.f.Book.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Fresh}, time.Now())
+	end := j.f.Book.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
 	h, err := j.f.Backend.ReadPrompt(ctx, j.call, j.send(v.Target, nil, ""))
@@ -140,7 +140,7 @@
 	}
 	j.f.Book.Succeeded(v.Target.ID, time.Now())
 	j.f.Book.Read(v.Target.ID, j.call.Parts, time.Now())
-	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Fresh, time.Since(started)
+	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Uncached, time.Since(started)
 	j.f.Metrics.Timer("PromptRead").Record(j.trace.promptTook)
 	return h, nil
 }
