--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -76,7 +76,7 @@
 			p.parts, p.tokens, p.born = nil, 0, t.Born
 		}
 		list = append(list, Candidate{
-			Target: t, Load: p.load(), Cached: p.cached(parts), Sick: p.sickness(now), Age: now.Sub(p.firstAt),
+			Target: t, Load: p.load(), Cached: p.cached(parts), FailureScore: p.sickness(now), Age: now.Sub(p.firstAt),
 		})
 	}
 	return list
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -53,8 +53,8 @@
 	Load   Load
 	// Cached is how many leading tokens of the prompt the target holds.
 	Cached identifier.Tokens
-	// Sick counts recent failures.
-	Sick float64
+	// FailureScore counts recent failures.
+	FailureScore float64
 	// Age is how long the target has been known here.
 	Age time.Duration
 }
@@ -180,7 +180,7 @@
 
 // handicap is what speaks against a target besides its load.
 func handicap(c *Candidate, zone identifier.ZoneID) time.Duration {
-	cost := time.Duration(c.Sick * float64(sickCost))
+	cost := time.Duration(c.FailureScore * float64(sickCost))
 	if c.Target.Zone != zone {
 		cost += zoneCost
 	}
