--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -59,25 +59,25 @@
 	Age time.Duration
 }
 
-// Draw spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
+// Jitter spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
 // chance of up to Spread to a target's cost.
-type Draw struct {
+type Jitter struct {
 	Seed   uint64
-	Spread time.Duration
+	Maximum time.Duration
 }
 
-func (d Draw) chance(t *registrar.Target) time.Duration {
-	if d.Spread <= 0 {
+func (d Jitter) chance(t *registrar.Target) time.Duration {
+	if d.Maximum <= 0 {
 		return 0
 	}
-	return time.Duration(mix(d.Seed^xxhash.Sum64String(string(t.ID))) % uint64(d.Spread))
+	return time.Duration(mix(d.Seed^xxhash.Sum64String(string(t.ID))) % uint64(d.Maximum))
 }
 
 // Prompt is what the choice of a prompt target depends on.
 type Prompt struct {
 	Zone  identifier.ZoneID
 	Parts []Part
-	Draw  Draw
+	Jitter  Jitter
 }
 
 // Tokens sums the parts.
@@ -133,7 +133,7 @@
 		if i != home {
 			cost += time.Duration(strayPart * float64(promptTime(max(0, shared-c.Cached))))
 		}
-		cost += p.Draw.chance(c.Target)
+		cost += p.Jitter.chance(c.Target)
 		if best.Target == nil || cost < bestCost {
 			best, bestCost = v, cost
 		}
@@ -142,7 +142,7 @@
 }
 
 // AnswerTarget returns the target whose batch suffers least, or false without candidates.
-func AnswerTarget(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Choice, bool) {
+func AnswerTarget(zone identifier.ZoneID, draw Jitter, candidates []Candidate) (Choice, bool) {
 	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -84,7 +84,7 @@
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 6)
 	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 1)
-	v, _ := chooser.AnswerTarget("z0", chooser.Draw{}, book.Candidates(list, nil, now))
+	v, _ := chooser.AnswerTarget("z0", chooser.Jitter{}, book.Candidates(list, nil, now))
 	quicktest.Assert(t, v.Target.ID, quicktest.Equals, identifier.TargetID("t0"))
 	book.Retain(list, now.Add(time.Minute))
 	quicktest.Assert(t, load(), quicktest.Equals, chooser.Load{}, quicktest.Commentf("a peer without news does no work"))
@@ -139,7 +139,7 @@
 	least := &chooser.Chooser{Policy: chooser.LeastLoad}
 	v, _ := least.Prompt(&chooser.Prompt{}, candidates)
 	quicktest.Check(t, v.Target.ID, quicktest.Equals, identifier.TargetID("b"))
-	v, _ = least.Answer("z", chooser.Draw{}, candidates)
+	v, _ = least.Answer("z", chooser.Jitter{}, candidates)
 	quicktest.Check(t, v.Target.ID, quicktest.Equals, identifier.TargetID("a"))
 	turns, taken := &chooser.Chooser{Policy: chooser.RoundRobin}, map[identifier.TargetID]int{}
 	for range 10 {
@@ -174,7 +174,7 @@
 	var book chooser.Book
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
-		v, _ := chooser.AnswerTarget("z0", chooser.Draw{Seed: i, Spread: 80 * time.Millisecond}, book.Candidates(list, nil, now))
+		v, _ := chooser.AnswerTarget("z0", chooser.Jitter{Seed: i, Maximum: 80 * time.Millisecond}, book.Candidates(list, nil, now))
 		chosen[v.Target.ID]++
 	}
 	for id, n := range chosen {
--- a/internal/chooser/policy.go
+++ b/internal/chooser/policy.go
@@ -42,7 +42,7 @@
 }
 
 // Answer returns the target that generates an answer, or false without candidates.
-func (c *Chooser) Answer(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Choice, bool) {
+func (c *Chooser) Answer(zone identifier.ZoneID, draw Jitter, candidates []Candidate) (Choice, bool) {
 	if c.predicts() {
 		return AnswerTarget(zone, draw, candidates)
 	}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -65,8 +65,8 @@
 	Instances func() int
 	// Expected returns how soon a target of a stage is expected that is not there yet, or false if none is.
 	Expected func(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool)
-	// Spread is how far apart the predictions of two instances may be.
-	Spread func() time.Duration
+	// MaximumJitter is how far apart the predictions of two instances may be.
+	MaximumJitter func() time.Duration
 	// Offered notes prompt tokens that a request would have computed.
 	Offered func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
 	// Began counts a request that began to run now.
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -119,7 +119,7 @@
 		},
 		Book: &chooser.Book{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
 		Offered: func(identifier.ServiceID, identifier.Tokens, time.Time) {},
-		Spread:  func() time.Duration { return 0 }, Instances: func() int { return 5 },
+		MaximumJitter:  func() time.Duration { return 0 }, Instances: func() int { return 5 },
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
 			return 2 * time.Second, true
 		},
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -72,7 +72,7 @@
 			return answer.Target, nil, nil
 		}
 		prompts := j.candidates(j.call.Parts, registrar.Prompts)
-		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Draw: j.draw()}, prompts)
+		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.draw()}, prompts)
 		if !ok && j.promptsFailed && j.call.Body.Whole() {
 			return nil, nil, j.givenUp(notRun("PromptTargetsFailed", comeBack, nil))
 		}
@@ -119,7 +119,7 @@
 }
 
 // draw spreads this request's choices by as much as the loads that are known of peers may be off.
-func (j *job) draw() chooser.Draw { return chooser.Draw{Seed: rand.Uint64(), Spread: j.f.Spread()} }
+func (j *job) draw() chooser.Jitter { return chooser.Jitter{Seed: rand.Uint64(), Maximum: j.f.MaximumJitter()} }
 
 // givenUp turns a refusal that says not run into one that leaves it open, if a target may have run the request.
 func (j *job) givenUp(r *Refusal) *Refusal {
