--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -25,8 +25,8 @@
 	peerLoadLife = 3 * time.Second
 )
 
-// Sent is a prompt part that a target has read for this instance; peers are told of it.
-type Sent struct {
+// CachedPart is a prompt part that a target has read for this instance; peers are told of it.
+type CachedPart struct {
 	Target identifier.TargetID
 	Part   Part
 }
@@ -37,7 +37,7 @@
 	targets map[identifier.TargetID]*page
 	peers   map[string]report
 	// sent holds the last parts that were read for this instance; the last one has the number sentNext-1.
-	sent     []Sent
+	sent     []CachedPart
 	sentNext uint64
 }
 
@@ -101,12 +101,12 @@
 	defer b.mu.Unlock()
 	p := b.page(id, now)
 	for _, part := range parts {
-		b.note(p, Sent{Target: id, Part: part}, now)
+		b.note(p, CachedPart{Target: id, Part: part}, now)
 	}
 }
 
 // note keeps a part and, unless that is known of late, remembers to tell peers.
-func (b *Book) note(p *page, s Sent, now time.Time) {
+func (b *Book) note(p *page, s CachedPart, now time.Time) {
 	if !p.hold(s.Part, now) {
 		return
 	}
@@ -118,14 +118,14 @@
 }
 
 // Learn notes what a peer told of a target's parts.
-func (b *Book) Learn(s Sent, now time.Time) {
+func (b *Book) Learn(s CachedPart, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.page(s.Target, now), s, now)
 }
 
-// SentSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
-func (b *Book) SentSince(from uint64) ([]Sent, uint64) {
+// PartsSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
+func (b *Book) PartsSince(from uint64) ([]CachedPart, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := b.sentNext - uint64(len(b.sent))
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -108,16 +108,16 @@
 	var book, peer chooser.Book
 	book.Read("t0", parts(1, 2), now)
 	book.Read("t0", parts(1, 3), now.Add(time.Second))
-	sent, next := book.SentSince(0)
+	sent, next := book.PartsSince(0)
 	quicktest.Assert(t, sent, quicktest.HasLen, 3, quicktest.Commentf("the shared part is no news the second time"))
 	for range 2 {
 		for _, s := range sent {
 			peer.Learn(s, now)
 		}
 	}
-	relayed, _ := peer.SentSince(0)
+	relayed, _ := peer.PartsSince(0)
 	quicktest.Assert(t, relayed, quicktest.HasLen, 3, quicktest.Commentf("what is passed on does not come back for ever"))
-	sent, _ = book.SentSince(next)
+	sent, _ = book.PartsSince(next)
 	quicktest.Assert(t, sent, quicktest.HasLen, 0)
 }
 
--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -82,7 +82,7 @@
 		c.told[peer.ID] = t
 	}
 	// A part that is not told costs a prompt that is read twice at worst, so it is told once.
-	sent, next := c.book.SentSince(t.parts.last)
+	sent, next := c.book.PartsSince(t.parts.last)
 	t.parts.advance(next)
 	for _, s := range sent {
 		b.Parts = append(b.Parts, &gossiper.Part{Target: string(s.Target), Part: uint64(s.Part.ID), Tokens: uint32(s.Part.Tokens)})
@@ -137,7 +137,7 @@
 	}
 	for _, p := range b.Parts {
 		part := chooser.Part{ID: identifier.PartID(p.Part), Tokens: identifier.Tokens(p.Tokens)}
-		c.book.Learn(chooser.Sent{Target: identifier.TargetID(p.Target), Part: part}, now)
+		c.book.Learn(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
 	}
 	for _, n := range b.Counts {
 		c.counts.Merge(counter.Cell{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
