--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -95,8 +95,8 @@
 	b.page(id, now).own.add(work, sign)
 }
 
-// Read notes that a target holds the parts of a prompt, and remembers to tell peers.
-func (b *Book) Read(id identifier.TargetID, parts []Part, now time.Time) {
+// Prefilled notes that a target holds the parts of a prompt, and remembers to tell peers.
+func (b *Book) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -117,8 +117,8 @@
 	}
 }
 
-// Learn notes what a peer told of a target's parts.
-func (b *Book) Learn(s CachedPart, now time.Time) {
+// AddReported notes what a peer told of a target's parts.
+func (b *Book) AddReported(s CachedPart, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.page(s.Target, now), s, now)
@@ -151,8 +151,8 @@
 	p.sickAt = now
 }
 
-// Own returns this instance's load of each target that has any.
-func (b *Book) Own() map[identifier.TargetID]Load {
+// OwnLoads returns this instance's load of each target that has any.
+func (b *Book) OwnLoads() map[identifier.TargetID]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
@@ -164,8 +164,8 @@
 	return own
 }
 
-// Hear replaces a peer's loads.
-func (b *Book) Hear(peer string, loads map[identifier.TargetID]Load, now time.Time) {
+// SetPeerLoads replaces a peer's loads.
+func (b *Book) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop(peer)
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -46,7 +46,7 @@
 func TestAffinityAgainstLoad(t *testing.T) {
 	list := targets(6, registrar.Prompts)
 	var book chooser.Book
-	book.Read("t3", parts(1, 2)[:1], now)
+	book.Prefilled("t3", parts(1, 2)[:1], now)
 	choose := func() chooser.Choice {
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts(1, 9)}, book.Candidates(list, parts(1, 9), now))
 		return v
@@ -67,7 +67,7 @@
 	list := targets(1, registrar.Prompts)
 	var book chooser.Book
 	book.Candidates(list, nil, now)
-	book.Read("t0", parts(1, 2), now)
+	book.Prefilled("t0", parts(1, 2), now)
 	quicktest.Assert(t, int(book.Candidates(list, parts(1, 2), now)[0].Cached), quicktest.Equals, 17_000)
 	quicktest.Assert(t, int(book.Candidates(list, parts(5, 2), now)[0].Cached), quicktest.Equals, 0, quicktest.Commentf("a part counts only if all before it are held"))
 	again := *list[0]
@@ -79,10 +79,10 @@
 	list := targets(2, registrar.Answers)
 	var book chooser.Book
 	load := func() chooser.Load { return book.Candidates(list, nil, now)[0].Load }
-	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
-	book.Hear("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
+	book.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
+	book.SetPeerLoads("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 6)
-	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
+	book.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 1)
 	v, _ := chooser.AnswerTarget("z0", chooser.Jitter{}, book.Candidates(list, nil, now))
 	quicktest.Assert(t, v.Target.ID, quicktest.Equals, identifier.TargetID("t0"))
@@ -106,13 +106,13 @@
 
 func TestPartsAreToldOnce(t *testing.T) {
 	var book, peer chooser.Book
-	book.Read("t0", parts(1, 2), now)
-	book.Read("t0", parts(1, 3), now.Add(time.Second))
+	book.Prefilled("t0", parts(1, 2), now)
+	book.Prefilled("t0", parts(1, 3), now.Add(time.Second))
 	sent, next := book.PartsSince(0)
 	quicktest.Assert(t, sent, quicktest.HasLen, 3, quicktest.Commentf("the shared part is no news the second time"))
 	for range 2 {
 		for _, s := range sent {
-			peer.Learn(s, now)
+			peer.AddReported(s, now)
 		}
 	}
 	relayed, _ := peer.PartsSince(0)
@@ -159,7 +159,7 @@
 	for i := range identifier.PartID(sessions) {
 		parts := []chooser.Part{{ID: 1, Tokens: 2500}, {ID: 1000 + i, Tokens: 3800}, {ID: 5000 + i, Tokens: 2900}}
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts}, book.Candidates(list, parts, now))
-		book.Read(v.Target.ID, parts, now)
+		book.Prefilled(v.Target.ID, parts, now)
 		chosen[v.Target.ID]++
 	}
 	for id, n := range chosen {
--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -22,7 +22,7 @@
 // status is what this instance says of itself.
 func (c *Coordinator) status(now time.Time) *gossiper.Status {
 	s := &gossiper.Status{Ready: c.Ready(), Leaving: c.leaving.Load(), UnixMilliseconds: now.UnixMilli()}
-	for id, load := range c.book.Own() {
+	for id, load := range c.book.OwnLoads() {
 		s.Loads = append(s.Loads, &gossiper.Load{
 			Target: string(id), PromptTokens: uint64(max(0, load.PromptTokens)),
 			Answers: uint32(max(0, load.Answers)), AnswerTokens: uint64(max(0, load.AnswerTokens)),
@@ -121,7 +121,7 @@
 			PromptTokens: identifier.Tokens(l.PromptTokens), Answers: int(l.Answers), AnswerTokens: identifier.Tokens(l.AnswerTokens),
 		}
 	}
-	c.book.Hear(s.Member.ID, loads, now)
+	c.book.SetPeerLoads(s.Member.ID, loads, now)
 	for _, r := range s.Rates {
 		c.demand.Hear(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
 	}
@@ -137,7 +137,7 @@
 	}
 	for _, p := range b.Parts {
 		part := chooser.Part{ID: identifier.PartID(p.Part), Tokens: identifier.Tokens(p.Tokens)}
-		c.book.Learn(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
+		c.book.AddReported(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
 	}
 	for _, n := range b.Counts {
 		c.counts.Merge(counter.Cell{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	j.f.Book.Succeeded(v.Target.ID, time.Now())
-	j.f.Book.Read(v.Target.ID, j.call.Parts, time.Now())
+	j.f.Book.Prefilled(v.Target.ID, j.call.Parts, time.Now())
 	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Uncached, time.Since(started)
 	j.f.Metrics.Timer("PromptRead").Record(j.trace.promptTook)
 	return h, nil
