--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -31,8 +31,8 @@
 	Part   Part
 }
 
-// Book keeps what this instance knows of each target; the zero value is ready.
-type Book struct {
+// TargetStates keeps what this instance knows of each target; the zero value is ready.
+type TargetStates struct {
 	mu      sync.Mutex
 	targets map[identifier.TargetID]*page
 	peers   map[string]report
@@ -66,7 +66,7 @@
 }
 
 // Candidates describes targets for a choice; parts may be empty.
-func (b *Book) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
+func (b *TargetStates) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Candidate, 0, len(targets))
@@ -83,20 +83,20 @@
 }
 
 // Begin notes work that this instance sends to a target; the returned function ends it.
-func (b *Book) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
+func (b *TargetStates) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
 	b.add(id, work, 1, now)
 	var once sync.Once
 	return func() { once.Do(func() { b.add(id, work, -1, now) }) }
 }
 
-func (b *Book) add(id identifier.TargetID, work Load, sign int, now time.Time) {
+func (b *TargetStates) add(id identifier.TargetID, work Load, sign int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.page(id, now).own.add(work, sign)
 }
 
 // Prefilled notes that a target holds the parts of a prompt, and remembers to tell peers.
-func (b *Book) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
+func (b *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -106,7 +106,7 @@
 }
 
 // note keeps a part and, unless that is known of late, remembers to tell peers.
-func (b *Book) note(p *page, s CachedPart, now time.Time) {
+func (b *TargetStates) note(p *page, s CachedPart, now time.Time) {
 	if !p.hold(s.Part, now) {
 		return
 	}
@@ -118,14 +118,14 @@
 }
 
 // AddReported notes what a peer told of a target's parts.
-func (b *Book) AddReported(s CachedPart, now time.Time) {
+func (b *TargetStates) AddReported(s CachedPart, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.page(s.Target, now), s, now)
 }
 
 // PartsSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
-func (b *Book) PartsSince(from uint64) ([]CachedPart, uint64) {
+func (b *TargetStates) PartsSince(from uint64) ([]CachedPart, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := b.sentNext - uint64(len(b.sent))
@@ -134,7 +134,7 @@
 }
 
 // Failed counts a failure of a target.
-func (b *Book) Failed(id identifier.TargetID, now time.Time) {
+func (b *TargetStates) Failed(id identifier.TargetID, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -143,7 +143,7 @@
 }
 
 // Succeeded halves the failures that are held against a target.
-func (b *Book) Succeeded(id identifier.TargetID, now time.Time) {
+func (b *TargetStates) Succeeded(id identifier.TargetID, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -152,7 +152,7 @@
 }
 
 // OwnLoads returns this instance's load of each target that has any.
-func (b *Book) OwnLoads() map[identifier.TargetID]Load {
+func (b *TargetStates) OwnLoads() map[identifier.TargetID]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
@@ -165,7 +165,7 @@
 }
 
 // SetPeerLoads replaces a peer's loads.
-func (b *Book) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
+func (b *TargetStates) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop(peer)
@@ -179,7 +179,7 @@
 }
 
 // drop takes a peer's loads out of the sums.
-func (b *Book) drop(peer string) {
+func (b *TargetStates) drop(peer string) {
 	for id, load := range b.peers[peer].loads {
 		if p := b.targets[id]; p != nil {
 			p.peers.add(load, -1)
@@ -189,7 +189,7 @@
 }
 
 // Retain drops all targets but the given ones, unless there is work on them, and the loads of peers without news.
-func (b *Book) Retain(targets []*registrar.Target, now time.Time) {
+func (b *TargetStates) Retain(targets []*registrar.Target, now time.Time) {
 	keep := map[identifier.TargetID]bool{}
 	for _, t := range targets {
 		keep[t.ID] = true
@@ -208,7 +208,7 @@
 	}
 }
 
-func (b *Book) page(id identifier.TargetID, now time.Time) *page {
+func (b *TargetStates) page(id identifier.TargetID, now time.Time) *page {
 	if b.targets == nil {
 		b.targets = map[identifier.TargetID]*page{}
 	}
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -62,7 +62,7 @@
 // Jitter spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
 // chance of up to Spread to a target's cost.
 type Jitter struct {
-	Seed   uint64
+	Seed    uint64
 	Maximum time.Duration
 }
 
@@ -75,9 +75,9 @@
 
 // Prompt is what the choice of a prompt target depends on.
 type Prompt struct {
-	Zone  identifier.ZoneID
-	Parts []Part
-	Jitter  Jitter
+	Zone   identifier.ZoneID
+	Parts  []Part
+	Jitter Jitter
 }
 
 // Tokens sums the parts.
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -33,7 +33,7 @@
 	list := targets(9, registrar.Prompts)
 	chosen := map[identifier.TargetID]int{}
 	for _, zone := range []identifier.ZoneID{"z0", "z1", "z2"} {
-		var book chooser.Book
+		var book chooser.TargetStates
 		v, ok := chooser.PromptTarget(&chooser.Prompt{Zone: zone, Parts: parts(7, 8)}, book.Candidates(list, parts(7, 8), now))
 		quicktest.Assert(t, ok, quicktest.IsTrue)
 		chosen[v.Target.ID]++
@@ -45,7 +45,7 @@
 // to read the part again.
 func TestAffinityAgainstLoad(t *testing.T) {
 	list := targets(6, registrar.Prompts)
-	var book chooser.Book
+	var book chooser.TargetStates
 	book.Prefilled("t3", parts(1, 2)[:1], now)
 	choose := func() chooser.Choice {
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts(1, 9)}, book.Candidates(list, parts(1, 9), now))
@@ -65,7 +65,7 @@
 
 func TestRestartedTargetsHoldNothing(t *testing.T) {
 	list := targets(1, registrar.Prompts)
-	var book chooser.Book
+	var book chooser.TargetStates
 	book.Candidates(list, nil, now)
 	book.Prefilled("t0", parts(1, 2), now)
 	quicktest.Assert(t, int(book.Candidates(list, parts(1, 2), now)[0].Cached), quicktest.Equals, 17_000)
@@ -77,7 +77,7 @@
 
 func TestPeersLoads(t *testing.T) {
 	list := targets(2, registrar.Answers)
-	var book chooser.Book
+	var book chooser.TargetStates
 	load := func() chooser.Load { return book.Candidates(list, nil, now)[0].Load }
 	book.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
 	book.SetPeerLoads("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
@@ -93,7 +93,7 @@
 // TestSickTargetsRest sends to a target that fails only until it has failed, and again after a while.
 func TestSickTargetsRest(t *testing.T) {
 	list := targets(3, registrar.AnyStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	choose := func(at time.Time) identifier.TargetID {
 		v, _ := chooser.PlainTarget("z0", 20*time.Millisecond, book.Candidates(list, nil, at))
 		return v.Target.ID
@@ -105,7 +105,7 @@
 }
 
 func TestPartsAreToldOnce(t *testing.T) {
-	var book, peer chooser.Book
+	var book, peer chooser.TargetStates
 	book.Prefilled("t0", parts(1, 2), now)
 	book.Prefilled("t0", parts(1, 3), now.Add(time.Second))
 	sent, next := book.PartsSince(0)
@@ -123,7 +123,7 @@
 
 func BenchmarkPromptTarget(b *testing.B) {
 	list := targets(720, registrar.Prompts)
-	var book chooser.Book
+	var book chooser.TargetStates
 	p := &chooser.Prompt{Zone: "z0", Parts: parts(1, 2)}
 	for b.Loop() {
 		chooser.PromptTarget(p, book.Candidates(list, p.Parts, now))
@@ -153,7 +153,7 @@
 
 func TestCommonFirstPart(t *testing.T) {
 	list := targets(20, registrar.Prompts)
-	var book chooser.Book
+	var book chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	const sessions = 200
 	for i := range identifier.PartID(sessions) {
@@ -171,7 +171,7 @@
 // TestIdleTargetsShareABurst sends from many instances that all see the same idle targets.
 func TestIdleTargetsShareABurst(t *testing.T) {
 	list := targets(12, registrar.Answers)
-	var book chooser.Book
+	var book chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
 		v, _ := chooser.AnswerTarget("z0", chooser.Jitter{Seed: i, Maximum: 80 * time.Millisecond}, book.Candidates(list, nil, now))
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -92,7 +92,7 @@
 	members  mirrorer.Mirror
 	table    atomic.Pointer[matcher.Table]
 	registry registrar.Registrar
-	book     chooser.Book
+	book     chooser.TargetStates
 	demand   demander.Demand
 	counts   counter.Counter
 	budget   *retrier.Windowed
@@ -182,7 +182,7 @@
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
 		Targets: c.registry.Of, Expected: c.expected, Instances: c.instances,
-		Book: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.spread,
+		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.spread,
 		Backend: c.platform.Backend, Budget: c.budget,
 		Began: c.began, Offered: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -57,7 +57,7 @@
 	Table    func() *matcher.Table
 	TableAge func() time.Duration
 	Targets  func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	Book     *chooser.Book
+	States   *chooser.TargetStates
 	Chooser  *chooser.Chooser
 	Backend  Backend
 	Budget   Budget
@@ -235,7 +235,7 @@
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
 		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failed, t.ID)
 	})
-	return j.f.Book.Candidates(targets, parts, time.Now())
+	return j.f.States.Candidates(targets, parts, time.Now())
 }
 
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -32,7 +32,7 @@
 		}
 		switch {
 		case err == nil && !j.repeatable(reply):
-			j.f.Book.Succeeded(v.Target.ID, time.Now())
+			j.f.States.Succeeded(v.Target.ID, time.Now())
 			return j.write(ctx, reply, start)
 		case err == nil && !j.mayRepeat():
 			return j.write(ctx, reply, start)
@@ -46,7 +46,7 @@
 		case j.route.Kind != matcher.Safe || ctx.Err() != nil || !j.mayRepeat():
 			return open(ctx, "TargetFailed", err)
 		}
-		j.f.Book.Failed(v.Target.ID, time.Now())
+		j.f.States.Failed(v.Target.ID, time.Now())
 		j.failed = append(j.failed, v.Target.ID)
 	}
 }
@@ -92,7 +92,7 @@
 // sendPlain sends once and reads the start of the answer, which is all of most answers: what breaks off there reaches no
 // client.
 func (j *job) sendPlain(ctx context.Context, t *registrar.Target) (*Reply, []byte, error) {
-	end := j.f.Book.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
+	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
 	defer end()
 	j.sends++
 	j.trace.answerTarget = t.ID
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -39,7 +39,7 @@
 		}
 		j.f.Logger.Info("answer target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(t.ID)), zap.Int("Event", stream.last), zap.Error(err))
-		j.f.Book.Failed(t.ID, time.Now())
+		j.f.States.Failed(t.ID, time.Now())
 		j.failed = append(j.failed, t.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -95,7 +95,7 @@
 		j.f.Logger.Info("prompt target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(prompt.Target.ID)), zap.Duration("Predicted", prompt.Predicted), zap.Error(err))
 		j.promptsFailed = true
-		j.f.Book.Failed(prompt.Target.ID, time.Now())
+		j.f.States.Failed(prompt.Target.ID, time.Now())
 		j.failed = append(j.failed, prompt.Target.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -119,7 +119,9 @@
 }
 
 // draw spreads this request's choices by as much as the loads that are known of peers may be off.
-func (j *job) draw() chooser.Jitter { return chooser.Jitter{Seed: rand.Uint64(), Maximum: j.f.MaximumJitter()} }
+func (j *job) draw() chooser.Jitter {
+	return chooser.Jitter{Seed: rand.Uint64(), Maximum: j.f.MaximumJitter()}
+}
 
 // givenUp turns a refusal that says not run into one that leaves it open, if a target may have run the request.
 func (j *job) givenUp(r *Refusal) *Refusal {
@@ -131,15 +133,15 @@
 
 // read has the prompt computed.
 func (j *job) read(ctx context.Context, v chooser.Choice) (*Handle, error) {
-	end := j.f.Book.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
+	end := j.f.States.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
 	h, err := j.f.Backend.ReadPrompt(ctx, j.call, j.send(v.Target, nil, ""))
 	if err != nil {
 		return nil, err
 	}
-	j.f.Book.Succeeded(v.Target.ID, time.Now())
-	j.f.Book.Prefilled(v.Target.ID, j.call.Parts, time.Now())
+	j.f.States.Succeeded(v.Target.ID, time.Now())
+	j.f.States.Prefilled(v.Target.ID, j.call.Parts, time.Now())
 	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Uncached, time.Since(started)
 	j.f.Metrics.Timer("PromptRead").Record(j.trace.promptTook)
 	return h, nil
@@ -165,7 +167,7 @@
 	for _, part := range j.call.Parts {
 		tokens += part.Tokens
 	}
-	end := j.f.Book.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
+	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
 	defer end()
 	j.sends++
 	j.trace.answerTarget = t.ID
@@ -188,7 +190,7 @@
 	if err := s.relay(reply); err != nil {
 		return err
 	}
-	j.f.Book.Succeeded(t.ID, time.Now())
+	j.f.States.Succeeded(t.ID, time.Now())
 	return nil
 }
 
