--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -209,13 +209,13 @@
 }
 
 // send describes a send to a target; events go on after lastEvent.
-func (j *job) send(t *registrar.Target, source *Handle, lastEvent string) *Send {
+func (j *job) send(t *registrar.Target, source *Handle, lastEvent string) *Attempt {
 	freshness := onceFreshness
 	if j.route.Repeatable() {
 		freshness = keptFreshness
 	}
-	return &Send{
-		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.Rank(j.route, j.team),
+	return &Attempt{
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.due), Rank: matcher.Rank(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connections(),
 	}
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -41,12 +41,12 @@
 // backend plays scripted steps, one for each send.
 type backend struct {
 	runs, reads []step
-	sent        []forwarder.Send
+	sent        []forwarder.Attempt
 	prompts     int
 	freed       int
 }
 
-func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Send) (*forwarder.Reply, error) {
+func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Reply, error) {
 	b.sent = append(b.sent, *s)
 	st := b.runs[min(len(b.sent), len(b.runs))-1]
 	if st.err != nil {
@@ -60,7 +60,7 @@
 	return &forwarder.Reply{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Send) (*forwarder.Handle, error) {
+func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Handle, error) {
 	b.prompts++
 	if len(b.reads) > 0 {
 		if err := b.reads[min(b.prompts, len(b.reads))-1].err; err != nil {
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -47,12 +47,12 @@
 	ID     string
 }
 
-// Send is what goes with a call to one target.
-type Send struct {
+// Attempt is what goes with a call to one target.
+type Attempt struct {
 	Target *registrar.Target
 	Team   identifier.TeamID
-	// Left is the time until the final answer is due.
-	Left time.Duration
+	// Remaining is the time until the final answer is due.
+	Remaining time.Duration
 	// Rank is the urgency among the target's requests; 0 comes first.
 	Rank int
 	// Source is where the prompt's KV cache is, or nil.
@@ -77,9 +77,9 @@
 // Backend sends calls to targets, each exactly once.
 type Backend interface {
 	// Run sends a call; errors wrap ErrNotRun or ErrOpen.
-	Run(ctx context.Context, c *Call, s *Send) (*Reply, error)
+	Run(ctx context.Context, c *Call, s *Attempt) (*Reply, error)
 	// ReadPrompt has the prompt computed; errors wrap ErrNotRun or ErrOpen.
-	ReadPrompt(ctx context.Context, c *Call, s *Send) (*Handle, error)
+	ReadPrompt(ctx context.Context, c *Call, s *Attempt) (*Handle, error)
 	// Free gives a handle back that is not used.
 	Free(ctx context.Context, h *Handle) error
 }
