--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -88,7 +88,7 @@
 	sends  int
 	reads  int
 	// kept is the handle of a prompt that was read and not yet used.
-	kept *Handle
+	kept *CacheHandle
 	// promptsFailed tells that a prompt target was tried in vain.
 	promptsFailed bool
 	failed        []identifier.TargetID
@@ -209,7 +209,7 @@
 }
 
 // send describes a send to a target; events go on after lastEvent.
-func (j *job) send(t *registrar.Target, source *Handle, lastEvent string) *Attempt {
+func (j *job) send(t *registrar.Target, source *CacheHandle, lastEvent string) *Attempt {
 	freshness := onceFreshness
 	if j.route.Repeatable() {
 		freshness = keptFreshness
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -46,7 +46,7 @@
 	freed       int
 }
 
-func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Reply, error) {
+func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Response, error) {
 	b.sent = append(b.sent, *s)
 	st := b.runs[min(len(b.sent), len(b.runs))-1]
 	if st.err != nil {
@@ -57,20 +57,20 @@
 		body = io.MultiReader(body, errorReader{})
 	}
 	h := http.Header{"X-Test-Seal": {string(s.Target.ID)}}
-	return &forwarder.Reply{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
+	return &forwarder.Response{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Handle, error) {
+func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.CacheHandle, error) {
 	b.prompts++
 	if len(b.reads) > 0 {
 		if err := b.reads[min(b.prompts, len(b.reads))-1].err; err != nil {
 			return nil, err
 		}
 	}
-	return &forwarder.Handle{Target: s.Target, ID: "h"}, nil
+	return &forwarder.CacheHandle{Target: s.Target, ID: "h"}, nil
 }
 
-func (b *backend) Free(context.Context, *forwarder.Handle) error { b.freed++; return nil }
+func (b *backend) Free(context.Context, *forwarder.CacheHandle) error { b.freed++; return nil }
 
 type errorReader struct{}
 
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -52,7 +52,7 @@
 }
 
 // logFailedSend tells which target failed a send, with its status if it answered.
-func (j *job) logFailedSend(t *registrar.Target, reply *Reply, err error) {
+func (j *job) logFailedSend(t *registrar.Target, reply *Response, err error) {
 	status := 0
 	if reply != nil {
 		status = reply.Status
@@ -74,7 +74,7 @@
 }
 
 // repeatable tells a failure of the target that another target may mend.
-func (j *job) repeatable(r *Reply) bool {
+func (j *job) repeatable(r *Response) bool {
 	return j.route.Kind == matcher.Safe && r.Status >= http.StatusInternalServerError
 }
 
@@ -91,7 +91,7 @@
 
 // sendPlain sends once and reads the start of the answer, which is all of most answers: what breaks off there reaches no
 // client.
-func (j *job) sendPlain(ctx context.Context, t *registrar.Target) (*Reply, []byte, error) {
+func (j *job) sendPlain(ctx context.Context, t *registrar.Target) (*Response, []byte, error) {
 	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
 	defer end()
 	j.sends++
@@ -111,7 +111,7 @@
 }
 
 // write sends a target's answer unchanged; the client's connection is closed if the answer breaks off.
-func (j *job) write(ctx context.Context, r *Reply, start []byte) *Refusal {
+func (j *job) write(ctx context.Context, r *Response, start []byte) *Refusal {
 	defer r.Body.Close()
 	if len(start) < heldAnswerBytes {
 		j.writeWhole(r, start)
@@ -130,7 +130,7 @@
 }
 
 // writeWhole sends a target's whole answer unchanged.
-func (j *job) writeWhole(r *Reply, body []byte) {
+func (j *job) writeWhole(r *Response, body []byte) {
 	j.wrote, j.status = true, r.Status
 	maps.Copy(j.w.Header(), r.Header)
 	j.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -41,8 +41,8 @@
 	AnswerTokens identifier.Tokens
 }
 
-// Handle names the KV cache of a prompt that a target holds for another one.
-type Handle struct {
+// CacheHandle names the KV cache of a prompt that a target holds for another one.
+type CacheHandle struct {
 	Target *registrar.Target
 	ID     string
 }
@@ -56,7 +56,7 @@
 	// Rank is the urgency among the target's requests; 0 comes first.
 	Rank int
 	// Source is where the prompt's KV cache is, or nil.
-	Source *Handle
+	Source *CacheHandle
 	// LastEvent is the id of the event after which the answer goes on, or empty.
 	LastEvent string
 	// Connections is how many connections to the target this instance may open; zero: any number.
@@ -65,8 +65,8 @@
 	Freshness time.Duration
 }
 
-// Reply is a target's answer; Body must be closed.
-type Reply struct {
+// Response is a target's answer; Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body; -1: not known.
@@ -77,9 +77,9 @@
 // Backend sends calls to targets, each exactly once.
 type Backend interface {
 	// Run sends a call; errors wrap ErrNotRun or ErrOpen.
-	Run(ctx context.Context, c *Call, s *Attempt) (*Reply, error)
+	Run(ctx context.Context, c *Call, s *Attempt) (*Response, error)
 	// ReadPrompt has the prompt computed; errors wrap ErrNotRun or ErrOpen.
-	ReadPrompt(ctx context.Context, c *Call, s *Attempt) (*Handle, error)
+	ReadPrompt(ctx context.Context, c *Call, s *Attempt) (*CacheHandle, error)
 	// Free gives a handle back that is not used.
-	Free(ctx context.Context, h *Handle) error
+	Free(ctx context.Context, h *CacheHandle) error
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -35,7 +35,7 @@
 }
 
 // relay passes events on until the target's answer ends; a broken answer gives ErrOpen.
-func (s *stream) relay(reply *Reply) error {
+func (s *stream) relay(reply *Response) error {
 	r := bufio.NewReaderSize(reply.Body, eventBuffer)
 	flusher := http.NewResponseController(s.job.w)
 	for {
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -58,7 +58,7 @@
 }
 
 // prepare chooses the answer target and has the prompt computed for it where there are targets for prompts.
-func (j *job) prepare(ctx context.Context) (*registrar.Target, *Handle, *Refusal) {
+func (j *job) prepare(ctx context.Context) (*registrar.Target, *CacheHandle, *Refusal) {
 	for {
 		if h := j.kept; h != nil {
 			j.kept = nil
@@ -109,7 +109,7 @@
 }
 
 // pair chooses the answer target for a prompt that was read.
-func (j *job) pair(h *Handle) (*registrar.Target, *Handle, *Refusal) {
+func (j *job) pair(h *CacheHandle) (*registrar.Target, *CacheHandle, *Refusal) {
 	answer, ok := j.answerTarget()
 	if !ok {
 		j.free(h)
@@ -132,7 +132,7 @@
 }
 
 // read has the prompt computed.
-func (j *job) read(ctx context.Context, v chooser.Choice) (*Handle, error) {
+func (j *job) read(ctx context.Context, v chooser.Choice) (*CacheHandle, error) {
 	end := j.f.States.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
@@ -148,7 +148,7 @@
 }
 
 // free gives a handle back without holding up the request.
-func (j *job) free(h *Handle) {
+func (j *job) free(h *CacheHandle) {
 	if h == nil {
 		return
 	}
@@ -162,7 +162,7 @@
 }
 
 // generate runs the request on the answer target and relays its events.
-func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *Handle) error {
+func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *CacheHandle) error {
 	tokens := j.call.AnswerTokens
 	for _, part := range j.call.Parts {
 		tokens += part.Tokens
@@ -195,7 +195,7 @@
 }
 
 // relayFailure passes a target's own failure on, unless part of the answer went out already.
-func (j *job) relayFailure(reply *Reply, s *stream) error {
+func (j *job) relayFailure(reply *Response, s *stream) error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, heldAnswerBytes))
 	if err != nil {
 		return fmt.Errorf("%w: body: %w", ErrOpen, err)
@@ -208,7 +208,7 @@
 }
 
 // head sends the head of the first target's answer.
-func (j *job) head(reply *Reply) {
+func (j *job) head(reply *Response) {
 	if j.wrote {
 		return
 	}
