--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -60,7 +60,7 @@
 	return &forwarder.Response{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.CacheHandle, error) {
+func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.CacheHandle, error) {
 	b.prompts++
 	if len(b.reads) > 0 {
 		if err := b.reads[min(b.prompts, len(b.reads))-1].err; err != nil {
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -78,8 +78,8 @@
 type Backend interface {
 	// Run sends a call; errors wrap ErrNotRun or ErrOpen.
 	Run(ctx context.Context, c *Call, s *Attempt) (*Response, error)
-	// ReadPrompt has the prompt computed; errors wrap ErrNotRun or ErrOpen.
-	ReadPrompt(ctx context.Context, c *Call, s *Attempt) (*CacheHandle, error)
+	// Prefill has the prompt computed; errors wrap ErrNotRun or ErrOpen.
+	Prefill(ctx context.Context, c *Call, s *Attempt) (*CacheHandle, error)
 	// Free gives a handle back that is not used.
 	Free(ctx context.Context, h *CacheHandle) error
 }
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -136,7 +136,7 @@
 	end := j.f.States.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
-	h, err := j.f.Backend.ReadPrompt(ctx, j.call, j.send(v.Target, nil, ""))
+	h, err := j.f.Backend.Prefill(ctx, j.call, j.send(v.Target, nil, ""))
 	if err != nil {
 		return nil, err
 	}
