--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -35,7 +35,7 @@
 var (
 	notRun  = step{err: fmt.Errorf("%w: full", forwarder.ErrNotRun)}
 	notSent = step{err: fmt.Errorf("%w: connection refused", forwarder.ErrNotSent)}
-	broken  = step{err: fmt.Errorf("%w: reset", forwarder.ErrOpen)}
+	broken  = step{err: fmt.Errorf("%w: reset", forwarder.ErrOutcomeUnknown)}
 )
 
 // backend plays scripted steps, one for each send.
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -105,7 +105,7 @@
 	start, err := io.ReadAll(io.LimitReader(reply.Body, heldAnswerBytes))
 	if err != nil {
 		reply.Body.Close()
-		return nil, nil, fmt.Errorf("%w: body: %w", ErrOpen, err)
+		return nil, nil, fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
 	}
 	return reply, start, nil
 }
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -19,8 +19,8 @@
 	ErrNotRun = errors.New("target did not run the request")
 	// ErrNotSent is returned when the target could not be reached; it is an ErrNotRun that no target has seen.
 	ErrNotSent = fmt.Errorf("%w: not sent", ErrNotRun)
-	// ErrOpen is returned when the target may have run the request.
-	ErrOpen = errors.New("target may have run the request")
+	// ErrOutcomeUnknown is returned when the target may have run the request.
+	ErrOutcomeUnknown = errors.New("target may have run the request")
 )
 
 // Call is a client's request; Header holds only what may reach a target.
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -45,7 +45,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: event after %d: %w", ErrOpen, s.last, err)
+			return fmt.Errorf("%w: event after %d: %w", ErrOutcomeUnknown, s.last, err)
 		}
 		s.job.begin()
 		if err := s.accept(event); err != nil {
@@ -53,10 +53,10 @@
 		}
 		s.job.head(reply)
 		if _, err := s.job.w.Write(event); err != nil {
-			return fmt.Errorf("%w: client: %w", ErrOpen, err)
+			return fmt.Errorf("%w: client: %w", ErrOutcomeUnknown, err)
 		}
 		if err := flusher.Flush(); err != nil {
-			return fmt.Errorf("%w: client: %w", ErrOpen, err)
+			return fmt.Errorf("%w: client: %w", ErrOutcomeUnknown, err)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		return nil
 	}
 	if id <= s.last {
-		return fmt.Errorf("%w: event %d after %d", ErrOpen, id, s.last)
+		return fmt.Errorf("%w: event %d after %d", ErrOutcomeUnknown, id, s.last)
 	}
 	s.last, s.lastEvent = id, strconv.Itoa(id)
 	return nil
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -198,10 +198,10 @@
 func (j *job) relayFailure(reply *Response, s *stream) error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, heldAnswerBytes))
 	if err != nil {
-		return fmt.Errorf("%w: body: %w", ErrOpen, err)
+		return fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
 	}
 	if j.wrote || j.route.Resumable && j.sends < j.route.Attempts {
-		return fmt.Errorf("%w: status %d", ErrOpen, reply.Status)
+		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, reply.Status)
 	}
 	j.writeWhole(reply, body)
 	return nil
