--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -184,7 +184,7 @@
 		Targets: c.registry.Of, Expected: c.expected, Instances: c.instances,
 		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.spread,
 		Backend: c.platform.Backend, Budget: c.budget,
-		Began: c.began, Offered: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
+		CountRequest: c.began, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
 }
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -45,8 +45,8 @@
 	minimumLeft = 5 * time.Millisecond
 )
 
-// Budget allows sends beyond the first of a request.
-type Budget interface {
+// RetryBudget allows sends beyond the first of a request.
+type RetryBudget interface {
 	Note(service identifier.ServiceID)
 	Take(service identifier.ServiceID) bool
 }
@@ -60,19 +60,19 @@
 	States   *chooser.TargetStates
 	Chooser  *chooser.Chooser
 	Backend  Backend
-	Budget   Budget
+	Budget   RetryBudget
 	// Instances is how many instances share the targets' connections, this one with them.
 	Instances func() int
 	// Expected returns how soon a target of a stage is expected that is not there yet, or false if none is.
 	Expected func(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool)
 	// MaximumJitter is how far apart the predictions of two instances may be.
 	MaximumJitter func() time.Duration
-	// Offered notes prompt tokens that a request would have computed.
-	Offered func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
-	// Began counts a request that began to run now.
-	Began   func(team identifier.TeamID)
-	Logger  *zap.Logger
-	Metrics tally.Scope
+	// RecordDemand notes prompt tokens that a request would have computed.
+	RecordDemand func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
+	// CountRequest counts a request that began to run now.
+	CountRequest func(team identifier.TeamID)
+	Logger       *zap.Logger
+	Metrics      tally.Scope
 }
 
 // job is one request on its way.
@@ -258,7 +258,7 @@
 		j.began = true
 		j.trace.firstEvent = time.Since(j.start)
 		j.f.Metrics.Timer("FirstEvent").Record(j.trace.firstEvent)
-		j.f.Began(j.teamID())
+		j.f.CountRequest(j.teamID())
 	}
 }
 
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -118,13 +118,13 @@
 			return append([]*registrar.Target(nil), targets...)
 		},
 		States: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
-		Offered:       func(identifier.ServiceID, identifier.Tokens, time.Time) {},
+		RecordDemand:  func(identifier.ServiceID, identifier.Tokens, time.Time) {},
 		MaximumJitter: func() time.Duration { return 0 }, Instances: func() int { return 5 },
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
 			return 2 * time.Second, true
 		},
-		Began:  func(identifier.TeamID) { out.began++ },
-		Logger: zap.NewNop(), Metrics: tally.NoopScope,
+		CountRequest: func(identifier.TeamID) { out.began++ },
+		Logger:       zap.NewNop(), Metrics: tally.NoopScope,
 	}
 	if call.Host == "" {
 		call.Host, call.Path, call.Key = "h", "/p/x", "key"
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -81,7 +81,7 @@
 			return answer.Target, nil, nil
 		}
 		if j.sends == 0 && len(j.failed) == 0 {
-			j.f.Offered(j.target, prompt.Uncached, time.Now())
+			j.f.RecordDemand(j.target, prompt.Uncached, time.Now())
 		}
 		// The first prompt that is read for a request is free of the budget.
 		if j.reads > 0 && !j.f.Budget.Take(j.target) {
