--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -105,7 +105,7 @@
 	forward  *forwarder.Forwarder
 
 	// Bodies bounds the memory that clients' bodies take.
-	Bodies forwarder.Bodies
+	Bodies forwarder.BodyBuffers
 	// Metrics answers with all metrics in the Prometheus text format.
 	Metrics http.Handler
 	metrics tally.Scope
@@ -128,7 +128,7 @@
 		ID: string(settings.Instance), Incarnation: uuid.NewString()[:incarnationDigits], Zone: string(settings.Zone),
 		ClientAddress: settings.Listen, PeerAddress: settings.PeerListen, Capacity: capacity(settings.Bounds),
 	}
-	c.Bodies.Memory = settings.Bounds.MemoryMegabytes << 20 / bodyPart
+	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyPart
 	c.wireViews()
 	c.wirePeers()
 	c.wireDuties()
--- a/internal/forwarder/body.go
+++ b/internal/forwarder/body.go
@@ -21,7 +21,7 @@
 
 // Body is a request's body: its start, which is held and can be sent again, and the rest, which can be read once.
 type Body struct {
-	Start []byte
+	Buffered []byte
 	// Rest is nil if the start is all.
 	Rest io.Reader
 	// RestBytes is the length of the rest; -1: not known.
@@ -31,10 +31,10 @@
 // Whole tells that all of the body is held.
 func (b *Body) Whole() bool { return b.Rest == nil }
 
-// Bodies bounds the memory of the bodies that are held at once; the zero value is ready.
-type Bodies struct {
-	// Memory is the most bytes that are held; zero: 32 MiB.
-	Memory int64
+// BodyBuffers bounds the memory of the bodies that are held at once; the zero value is ready.
+type BodyBuffers struct {
+	// MaximumBytes is the most bytes that are held; zero: 32 MiB.
+	MaximumBytes int64
 
 	mu   sync.Mutex
 	used int64
@@ -42,7 +42,7 @@
 
 // Read reads the start of a body of some length, or of -1 for one that is not known; release must be called at the end
 // of the request.
-func (b *Bodies) Read(r io.Reader, length int64) (body Body, release func(), err error) {
+func (b *BodyBuffers) Read(r io.Reader, length int64) (body Body, release func(), err error) {
 	size := int64(heldBodyBytes)
 	if length >= 0 {
 		size = min(size, length)
@@ -59,7 +59,7 @@
 	held := int64(len(start))
 	b.take(held - size)
 	release = func() { b.take(-held) }
-	body.Start = start
+	body.Buffered = start
 	switch {
 	case length > size:
 		body.Rest, body.RestBytes = r, length-size
@@ -70,10 +70,10 @@
 }
 
 // take adds to the memory in use unless that would be more than allowed.
-func (b *Bodies) take(size int64) bool {
+func (b *BodyBuffers) take(size int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := b.Memory
+	most := b.MaximumBytes
 	if most <= 0 {
 		most = heldBodiesBytes
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -256,7 +256,7 @@
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
 	long := func() *forwarder.Call {
-		return &forwarder.Call{Body: forwarder.Body{Start: []byte("start"), Rest: strings.NewReader("rest"), RestBytes: 4}, Parts: []chooser.Part{{ID: 1, Tokens: 10}}}
+		return &forwarder.Call{Body: forwarder.Body{Buffered: []byte("start"), Rest: strings.NewReader("rest"), RestBytes: 4}, Parts: []chooser.Part{{ID: 1, Tokens: 10}}}
 	}
 	b := &backend{runs: []step{notRun, {status: 200, body: "ok"}}}
 	out := serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
@@ -284,10 +284,10 @@
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	bodies := &forwarder.Bodies{Memory: 1 << 20}
+	bodies := &forwarder.BodyBuffers{MaximumBytes: 1 << 20}
 	whole, release, err := bodies.Read(strings.NewReader("text"), 4)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, whole.Whole() && string(whole.Start) == "text", quicktest.IsTrue)
+	quicktest.Check(t, whole.Whole() && string(whole.Buffered) == "text", quicktest.IsTrue)
 	release()
 	var short []func()
 	for range 100 {
@@ -301,7 +301,7 @@
 	text := strings.Repeat("x", 600<<10)
 	long, release, err := bodies.Read(strings.NewReader(text), int64(len(text)))
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, int64(len(long.Start))+long.RestBytes, quicktest.Equals, int64(len(text)))
+	quicktest.Check(t, int64(len(long.Buffered))+long.RestBytes, quicktest.Equals, int64(len(text)))
 	unknown, _, err := bodies.Read(strings.NewReader(text), -1)
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Check(t, unknown.RestBytes, quicktest.Equals, int64(-1))
