--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -266,14 +266,14 @@
 type Refusal struct {
 	Status int
 	Reason string
-	// Return is when the client may come back; zero: not said.
-	Return time.Duration
-	Err    error
+	// RetryAfter is when the client may come back; zero: not said.
+	RetryAfter time.Duration
+	Err        error
 }
 
 // notRun refuses a request that has not run and never will.
 func notRun(reason string, back time.Duration, err error) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, Return: back, Err: err}
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: back, Err: err}
 }
 
 // open gives up a request that may have run.
@@ -291,8 +291,8 @@
 }
 
 func (r *Refusal) write(w http.ResponseWriter) {
-	if r.Return > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(r.Return.Seconds(), 'f', 3, 64))
+	if r.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(r.Status)
