--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -25,19 +25,19 @@
 	peerLoadLife = 3 * time.Second
 )
 
-// Sent is a prompt part that a target has read for this instance; peers are told of it.
-type Sent struct {
+// CachedPart is a prompt part that a target has read for this instance; peers are told of it.
+type CachedPart struct {
 	Target identifier.TargetID
 	Part   Part
 }
 
-// Book keeps what this instance knows of each target; the zero value is ready.
-type Book struct {
+// TargetStates keeps what this instance knows of each target; the zero value is ready.
+type TargetStates struct {
 	mu      sync.Mutex
 	targets map[identifier.TargetID]*page
 	peers   map[string]report
 	// sent holds the last parts that were read for this instance; the last one has the number sentNext-1.
-	sent     []Sent
+	sent     []CachedPart
 	sentNext uint64
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Candidates describes targets for a choice; parts may be empty.
-func (b *Book) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
+func (b *TargetStates) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := make([]Candidate, 0, len(targets))
@@ -76,37 +76,37 @@
 			p.parts, p.tokens, p.born = nil, 0, t.StartedAt
 		}
 		list = append(list, Candidate{
-			Target: t, Load: p.load(), Cached: p.cached(parts), Sick: p.sickness(now), Age: now.Sub(p.firstAt),
+			Target: t, Load: p.load(), Cached: p.cached(parts), FailureScore: p.sickness(now), Age: now.Sub(p.firstAt),
 		})
 	}
 	return list
 }
 
 // Begin notes work that this instance sends to a target; the returned function ends it.
-func (b *Book) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
+func (b *TargetStates) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
 	b.add(id, work, 1, now)
 	var once sync.Once
 	return func() { once.Do(func() { b.add(id, work, -1, now) }) }
 }
 
-func (b *Book) add(id identifier.TargetID, work Load, sign int, now time.Time) {
+func (b *TargetStates) add(id identifier.TargetID, work Load, sign int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.page(id, now).own.add(work, sign)
 }
 
-// Read notes that a target holds the parts of a prompt, and remembers to tell peers.
-func (b *Book) Read(id identifier.TargetID, parts []Part, now time.Time) {
+// Prefilled notes that a target holds the parts of a prompt, and remembers to tell peers.
+func (b *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
 	for _, part := range parts {
-		b.note(p, Sent{Target: id, Part: part}, now)
+		b.note(p, CachedPart{Target: id, Part: part}, now)
 	}
 }
 
 // note keeps a part and, unless that is known of late, remembers to tell peers.
-func (b *Book) note(p *page, s Sent, now time.Time) {
+func (b *TargetStates) note(p *page, s CachedPart, now time.Time) {
 	if !p.hold(s.Part, now) {
 		return
 	}
@@ -117,15 +117,15 @@
 	}
 }
 
-// Learn notes what a peer told of a target's parts.
-func (b *Book) Learn(s Sent, now time.Time) {
+// AddReported notes what a peer told of a target's parts.
+func (b *TargetStates) AddReported(s CachedPart, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(b.page(s.Target, now), s, now)
 }
 
-// SentSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
-func (b *Book) SentSince(from uint64) ([]Sent, uint64) {
+// PartsSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
+func (b *TargetStates) PartsSince(from uint64) ([]CachedPart, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := b.sentNext - uint64(len(b.sent))
@@ -134,7 +134,7 @@
 }
 
 // Failed counts a failure of a target.
-func (b *Book) Failed(id identifier.TargetID, now time.Time) {
+func (b *TargetStates) Failed(id identifier.TargetID, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -143,7 +143,7 @@
 }
 
 // Succeeded halves the failures that are held against a target.
-func (b *Book) Succeeded(id identifier.TargetID, now time.Time) {
+func (b *TargetStates) Succeeded(id identifier.TargetID, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.page(id, now)
@@ -151,8 +151,8 @@
 	p.sickAt = now
 }
 
-// Own returns this instance's load of each target that has any.
-func (b *Book) Own() map[identifier.TargetID]Load {
+// OwnLoads returns this instance's load of each target that has any.
+func (b *TargetStates) OwnLoads() map[identifier.TargetID]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
@@ -164,8 +164,8 @@
 	return own
 }
 
-// Hear replaces a peer's loads.
-func (b *Book) Hear(peer string, loads map[identifier.TargetID]Load, now time.Time) {
+// SetPeerLoads replaces a peer's loads.
+func (b *TargetStates) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop(peer)
@@ -179,7 +179,7 @@
 }
 
 // drop takes a peer's loads out of the sums.
-func (b *Book) drop(peer string) {
+func (b *TargetStates) drop(peer string) {
 	for id, load := range b.peers[peer].loads {
 		if p := b.targets[id]; p != nil {
 			p.peers.add(load, -1)
@@ -189,7 +189,7 @@
 }
 
 // Retain drops all targets but the given ones, unless there is work on them, and the loads of peers without news.
-func (b *Book) Retain(targets []*registrar.Target, now time.Time) {
+func (b *TargetStates) Retain(targets []*registrar.Target, now time.Time) {
 	keep := map[identifier.TargetID]bool{}
 	for _, t := range targets {
 		keep[t.ID] = true
@@ -208,7 +208,7 @@
 	}
 }
 
-func (b *Book) page(id identifier.TargetID, now time.Time) *page {
+func (b *TargetStates) page(id identifier.TargetID, now time.Time) *page {
 	if b.targets == nil {
 		b.targets = map[identifier.TargetID]*page{}
 	}
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -53,31 +53,31 @@
 	Load   Load
 	// Cached is how many leading tokens of the prompt the target holds.
 	Cached identifier.Tokens
-	// Sick counts recent failures.
-	Sick float64
+	// FailureScore counts recent failures.
+	FailureScore float64
 	// Age is how long the target has been known here.
 	Age time.Duration
 }
 
-// Draw spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
+// Jitter spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
 // chance of up to Spread to a target's cost.
-type Draw struct {
-	Seed   uint64
-	Spread time.Duration
+type Jitter struct {
+	Seed    uint64
+	Maximum time.Duration
 }
 
-func (d Draw) chance(t *registrar.Target) time.Duration {
-	if d.Spread <= 0 {
+func (d Jitter) chance(t *registrar.Target) time.Duration {
+	if d.Maximum <= 0 {
 		return 0
 	}
-	return time.Duration(mix(d.Seed^xxhash.Sum64String(string(t.ID))) % uint64(d.Spread))
+	return time.Duration(mix(d.Seed^xxhash.Sum64String(string(t.ID))) % uint64(d.Maximum))
 }
 
 // Prompt is what the choice of a prompt target depends on.
 type Prompt struct {
-	Zone  identifier.ZoneID
-	Parts []Part
-	Draw  Draw
+	Zone   identifier.ZoneID
+	Parts  []Part
+	Jitter Jitter
 }
 
 // Tokens sums the parts.
@@ -105,17 +105,17 @@
 	return most
 }
 
-// Verdict is a choice with the prediction that decided it.
-type Verdict struct {
+// Choice is a choice with the prediction that decided it.
+type Choice struct {
 	Target    *registrar.Target
 	Predicted time.Duration
-	// Fresh is how many tokens of the prompt the target has to compute.
-	Fresh identifier.Tokens
+	// Uncached is how many tokens of the prompt the target has to compute.
+	Uncached identifier.Tokens
 }
 
 // PromptTarget returns the target that computes a prompt soonest, or false without candidates.
-func PromptTarget(p *Prompt, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func PromptTarget(p *Prompt, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	total := p.Tokens()
 	home := homeOf(p, candidates)
@@ -123,8 +123,8 @@
 	shared := p.shared()
 	for i := range candidates {
 		c := &candidates[i]
-		v := Verdict{Target: c.Target, Fresh: max(0, total-c.Cached)}
-		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Fresh)
+		v := Choice{Target: c.Target, Uncached: max(0, total-c.Cached)}
+		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Uncached)
 		cost := v.Predicted + handicap(c, p.Zone)
 		// A holder of only the first parts, which are common to most requests, is no reason not to read them at home.
 		if held >= shared {
@@ -133,7 +133,7 @@
 		if i != home {
 			cost += time.Duration(strayPart * float64(promptTime(max(0, shared-c.Cached))))
 		}
-		cost += p.Draw.chance(c.Target)
+		cost += p.Jitter.chance(c.Target)
 		if best.Target == nil || cost < bestCost {
 			best, bestCost = v, cost
 		}
@@ -142,8 +142,8 @@
 }
 
 // AnswerTarget returns the target whose batch suffers least, or false without candidates.
-func AnswerTarget(zone identifier.ZoneID, draw Draw, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func AnswerTarget(zone identifier.ZoneID, draw Jitter, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
@@ -152,15 +152,15 @@
 			cost += time.Second
 		}
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = Verdict{Target: c.Target, Predicted: cost}, cost
+			best, bestCost = Choice{Target: c.Target, Predicted: cost}, cost
 		}
 	}
 	return best, best.Target != nil
 }
 
 // PlainTarget returns the target of a plain service with the shortest queue for its slots, or false without candidates.
-func PlainTarget(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Verdict, bool) {
-	var best Verdict
+func PlainTarget(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Choice, bool) {
+	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
@@ -168,7 +168,7 @@
 		wait := work * time.Duration(c.Load.Answers) / time.Duration(slots)
 		cost := wait + handicap(c, zone)/8
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = Verdict{Target: c.Target, Predicted: wait + work}, cost
+			best, bestCost = Choice{Target: c.Target, Predicted: wait + work}, cost
 		}
 	}
 	return best, best.Target != nil
@@ -180,7 +180,7 @@
 
 // handicap is what speaks against a target besides its load.
 func handicap(c *Candidate, zone identifier.ZoneID) time.Duration {
-	cost := time.Duration(c.Sick * float64(sickCost))
+	cost := time.Duration(c.FailureScore * float64(sickCost))
 	if c.Target.Zone != zone {
 		cost += zoneCost
 	}
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -33,7 +33,7 @@
 	list := targets(9, registrar.PrefillStage)
 	chosen := map[identifier.TargetID]int{}
 	for _, zone := range []identifier.ZoneID{"z0", "z1", "z2"} {
-		var book chooser.Book
+		var book chooser.TargetStates
 		v, ok := chooser.PromptTarget(&chooser.Prompt{Zone: zone, Parts: parts(7, 8)}, book.Candidates(list, parts(7, 8), now))
 		quicktest.Assert(t, ok, quicktest.IsTrue)
 		chosen[v.Target.ID]++
@@ -45,15 +45,15 @@
 // to read the part again.
 func TestAffinityAgainstLoad(t *testing.T) {
 	list := targets(6, registrar.PrefillStage)
-	var book chooser.Book
-	book.Read("t3", parts(1, 2)[:1], now)
-	choose := func() chooser.Verdict {
+	var book chooser.TargetStates
+	book.Prefilled("t3", parts(1, 2)[:1], now)
+	choose := func() chooser.Choice {
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts(1, 9)}, book.Candidates(list, parts(1, 9), now))
 		return v
 	}
 	v := choose()
 	quicktest.Assert(t, v.Target.ID, quicktest.Equals, identifier.TargetID("t3"))
-	quicktest.Assert(t, int(v.Fresh), quicktest.Equals, 3_700)
+	quicktest.Assert(t, int(v.Uncached), quicktest.Equals, 3_700)
 	book.Begin("t3", chooser.Load{PromptTokens: 8_000}, now)
 	quicktest.Assert(t, choose().Target.ID, quicktest.Equals, identifier.TargetID("t3"))
 	end := book.Begin("t3", chooser.Load{PromptTokens: 20_000}, now)
@@ -65,9 +65,9 @@
 
 func TestRestartedTargetsHoldNothing(t *testing.T) {
 	list := targets(1, registrar.PrefillStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	book.Candidates(list, nil, now)
-	book.Read("t0", parts(1, 2), now)
+	book.Prefilled("t0", parts(1, 2), now)
 	quicktest.Assert(t, int(book.Candidates(list, parts(1, 2), now)[0].Cached), quicktest.Equals, 17_000)
 	quicktest.Assert(t, int(book.Candidates(list, parts(5, 2), now)[0].Cached), quicktest.Equals, 0, quicktest.Commentf("a part counts only if all before it are held"))
 	again := *list[0]
@@ -77,14 +77,14 @@
 
 func TestPeersLoads(t *testing.T) {
 	list := targets(2, registrar.DecodeStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	load := func() chooser.Load { return book.Candidates(list, nil, now)[0].Load }
-	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
-	book.Hear("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
+	book.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
+	book.SetPeerLoads("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 6)
-	book.Hear("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
+	book.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 1)
-	v, _ := chooser.AnswerTarget("z0", chooser.Draw{}, book.Candidates(list, nil, now))
+	v, _ := chooser.AnswerTarget("z0", chooser.Jitter{}, book.Candidates(list, nil, now))
 	quicktest.Assert(t, v.Target.ID, quicktest.Equals, identifier.TargetID("t0"))
 	book.Retain(list, now.Add(time.Minute))
 	quicktest.Assert(t, load(), quicktest.Equals, chooser.Load{}, quicktest.Commentf("a peer without news does no work"))
@@ -93,7 +93,7 @@
 // TestSickTargetsRest sends to a target that fails only until it has failed, and again after a while.
 func TestSickTargetsRest(t *testing.T) {
 	list := targets(3, registrar.AnyStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	choose := func(at time.Time) identifier.TargetID {
 		v, _ := chooser.PlainTarget("z0", 20*time.Millisecond, book.Candidates(list, nil, at))
 		return v.Target.ID
@@ -105,25 +105,25 @@
 }
 
 func TestPartsAreToldOnce(t *testing.T) {
-	var book, peer chooser.Book
-	book.Read("t0", parts(1, 2), now)
-	book.Read("t0", parts(1, 3), now.Add(time.Second))
-	sent, next := book.SentSince(0)
+	var book, peer chooser.TargetStates
+	book.Prefilled("t0", parts(1, 2), now)
+	book.Prefilled("t0", parts(1, 3), now.Add(time.Second))
+	sent, next := book.PartsSince(0)
 	quicktest.Assert(t, sent, quicktest.HasLen, 3, quicktest.Commentf("the shared part is no news the second time"))
 	for range 2 {
 		for _, s := range sent {
-			peer.Learn(s, now)
+			peer.AddReported(s, now)
 		}
 	}
-	relayed, _ := peer.SentSince(0)
+	relayed, _ := peer.PartsSince(0)
 	quicktest.Assert(t, relayed, quicktest.HasLen, 3, quicktest.Commentf("what is passed on does not come back for ever"))
-	sent, _ = book.SentSince(next)
+	sent, _ = book.PartsSince(next)
 	quicktest.Assert(t, sent, quicktest.HasLen, 0)
 }
 
 func BenchmarkPromptTarget(b *testing.B) {
 	list := targets(720, registrar.PrefillStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	p := &chooser.Prompt{Zone: "z0", Parts: parts(1, 2)}
 	for b.Loop() {
 		chooser.PromptTarget(p, book.Candidates(list, p.Parts, now))
@@ -139,7 +139,7 @@
 	least := &chooser.Chooser{Policy: chooser.LeastLoad}
 	v, _ := least.Prompt(&chooser.Prompt{}, candidates)
 	quicktest.Check(t, v.Target.ID, quicktest.Equals, identifier.TargetID("b"))
-	v, _ = least.Answer("z", chooser.Draw{}, candidates)
+	v, _ = least.Answer("z", chooser.Jitter{}, candidates)
 	quicktest.Check(t, v.Target.ID, quicktest.Equals, identifier.TargetID("a"))
 	turns, taken := &chooser.Chooser{Policy: chooser.RoundRobin}, map[identifier.TargetID]int{}
 	for range 10 {
@@ -153,13 +153,13 @@
 
 func TestCommonFirstPart(t *testing.T) {
 	list := targets(20, registrar.PrefillStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	const sessions = 200
 	for i := range identifier.PartID(sessions) {
 		parts := []chooser.Part{{ID: 1, Tokens: 2500}, {ID: 1000 + i, Tokens: 3800}, {ID: 5000 + i, Tokens: 2900}}
 		v, _ := chooser.PromptTarget(&chooser.Prompt{Zone: "z0", Parts: parts}, book.Candidates(list, parts, now))
-		book.Read(v.Target.ID, parts, now)
+		book.Prefilled(v.Target.ID, parts, now)
 		chosen[v.Target.ID]++
 	}
 	for id, n := range chosen {
@@ -171,10 +171,10 @@
 // TestIdleTargetsShareABurst sends from many instances that all see the same idle targets.
 func TestIdleTargetsShareABurst(t *testing.T) {
 	list := targets(12, registrar.DecodeStage)
-	var book chooser.Book
+	var book chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
-		v, _ := chooser.AnswerTarget("z0", chooser.Draw{Seed: i, Spread: 80 * time.Millisecond}, book.Candidates(list, nil, now))
+		v, _ := chooser.AnswerTarget("z0", chooser.Jitter{Seed: i, Maximum: 80 * time.Millisecond}, book.Candidates(list, nil, now))
 		chosen[v.Target.ID]++
 	}
 	for id, n := range chosen {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -92,7 +92,7 @@
 	members  mirrorer.Mirror
 	table    atomic.Pointer[matcher.Table]
 	registry registrar.Registrar
-	book     chooser.Book
+	book     chooser.TargetStates
 	demand   demander.Demand
 	counts   counter.Counter
 	budget   *retrier.WindowedBudget
@@ -105,7 +105,7 @@
 	forward  *forwarder.Forwarder
 
 	// Bodies bounds the memory that clients' bodies take.
-	Bodies forwarder.Bodies
+	Bodies forwarder.BodyBuffers
 	// Metrics answers with all metrics in the Prometheus text format.
 	Metrics http.Handler
 	metrics tally.Scope
@@ -128,7 +128,7 @@
 		ID: string(settings.Instance), Incarnation: uuid.NewString()[:incarnationDigits], Zone: string(settings.Zone),
 		ClientAddress: settings.Listen, PeerAddress: settings.PeerListen, Capacity: capacity(settings.Bounds),
 	}
-	c.Bodies.Memory = settings.Bounds.MemoryMegabytes << 20 / bodyPart
+	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyPart
 	c.wireViews()
 	c.wirePeers()
 	c.wireDuties()
@@ -182,9 +182,9 @@
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
 		Targets: c.registry.Available, Expected: c.expected, Instances: c.instances,
-		Book: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, Spread: c.spread,
+		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.spread,
 		Backend: c.platform.Backend, Budget: c.budget,
-		Began: c.began, Offered: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
+		CountRequest: c.began, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
 }
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -45,8 +45,8 @@
 	minimumLeft = 5 * time.Millisecond
 )
 
-// Budget allows sends beyond the first of a request.
-type Budget interface {
+// RetryBudget allows sends beyond the first of a request.
+type RetryBudget interface {
 	AddRequest(service identifier.ServiceID)
 	TakeRetry(service identifier.ServiceID) bool
 }
@@ -57,22 +57,22 @@
 	Table    func() *matcher.Table
 	TableAge func() time.Duration
 	Targets  func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	Book     *chooser.Book
+	States   *chooser.TargetStates
 	Chooser  *chooser.Chooser
 	Backend  Backend
-	Budget   Budget
+	Budget   RetryBudget
 	// Instances is how many instances share the targets' connections, this one with them.
 	Instances func() int
 	// Expected returns how soon a target of a stage is expected that is not there yet, or false if none is.
 	Expected func(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool)
-	// Spread is how far apart the predictions of two instances may be.
-	Spread func() time.Duration
-	// Offered notes prompt tokens that a request would have computed.
-	Offered func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
-	// Began counts a request that began to run now.
-	Began   func(team identifier.TeamID)
-	Logger  *zap.Logger
-	Metrics tally.Scope
+	// MaximumJitter is how far apart the predictions of two instances may be.
+	MaximumJitter func() time.Duration
+	// RecordDemand notes prompt tokens that a request would have computed.
+	RecordDemand func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
+	// CountRequest counts a request that began to run now.
+	CountRequest func(team identifier.TeamID)
+	Logger       *zap.Logger
+	Metrics      tally.Scope
 }
 
 // job is one request on its way.
@@ -88,7 +88,7 @@
 	sends  int
 	reads  int
 	// kept is the handle of a prompt that was read and not yet used.
-	kept *Handle
+	kept *CacheHandle
 	// promptsFailed tells that a prompt target was tried in vain.
 	promptsFailed bool
 	failed        []identifier.TargetID
@@ -209,13 +209,13 @@
 }
 
 // send describes a send to a target; events go on after lastEvent.
-func (j *job) send(t *registrar.Target, source *Handle, lastEvent string) *Send {
+func (j *job) send(t *registrar.Target, source *CacheHandle, lastEvent string) *Attempt {
 	freshness := onceFreshness
 	if j.route.Repeatable() {
 		freshness = keptFreshness
 	}
-	return &Send{
-		Target: t, Team: j.teamID(), Left: time.Until(j.due), Rank: matcher.EffectivePriority(j.route, j.team),
+	return &Attempt{
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.due), Rank: matcher.EffectivePriority(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connections(),
 	}
 }
@@ -235,11 +235,11 @@
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
 		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failed, t.ID)
 	})
-	return j.f.Book.Candidates(targets, parts, time.Now())
+	return j.f.States.Candidates(targets, parts, time.Now())
 }
 
 // answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
-func (j *job) answerTarget() (chooser.Verdict, bool) {
+func (j *job) answerTarget() (chooser.Choice, bool) {
 	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
 	if j.route.HasPrompts {
 		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
@@ -258,7 +258,7 @@
 		j.began = true
 		j.trace.firstEvent = time.Since(j.start)
 		j.f.Metrics.Timer("FirstEvent").Record(j.trace.firstEvent)
-		j.f.Began(j.teamID())
+		j.f.CountRequest(j.teamID())
 	}
 }
 
@@ -266,14 +266,14 @@
 type Refusal struct {
 	Status int
 	Reason string
-	// Return is when the client may come back; zero: not said.
-	Return time.Duration
-	Err    error
+	// RetryAfter is when the client may come back; zero: not said.
+	RetryAfter time.Duration
+	Err        error
 }
 
 // notRun refuses a request that has not run and never will.
 func notRun(reason string, back time.Duration, err error) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, Return: back, Err: err}
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: back, Err: err}
 }
 
 // open gives up a request that may have run.
@@ -291,8 +291,8 @@
 }
 
 func (r *Refusal) write(w http.ResponseWriter) {
-	if r.Return > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(r.Return.Seconds(), 'f', 3, 64))
+	if r.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(r.Status)
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -35,18 +35,18 @@
 var (
 	notRun  = step{err: fmt.Errorf("%w: full", forwarder.ErrNotRun)}
 	notSent = step{err: fmt.Errorf("%w: connection refused", forwarder.ErrNotSent)}
-	broken  = step{err: fmt.Errorf("%w: reset", forwarder.ErrOpen)}
+	broken  = step{err: fmt.Errorf("%w: reset", forwarder.ErrOutcomeUnknown)}
 )
 
 // backend plays scripted steps, one for each send.
 type backend struct {
 	runs, reads []step
-	sent        []forwarder.Send
+	sent        []forwarder.Attempt
 	prompts     int
 	freed       int
 }
 
-func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Send) (*forwarder.Reply, error) {
+func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Response, error) {
 	b.sent = append(b.sent, *s)
 	st := b.runs[min(len(b.sent), len(b.runs))-1]
 	if st.err != nil {
@@ -57,20 +57,20 @@
 		body = io.MultiReader(body, errorReader{})
 	}
 	h := http.Header{"X-Test-Seal": {string(s.Target.ID)}}
-	return &forwarder.Reply{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
+	return &forwarder.Response{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) ReadPrompt(_ context.Context, _ *forwarder.Call, s *forwarder.Send) (*forwarder.Handle, error) {
+func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.CacheHandle, error) {
 	b.prompts++
 	if len(b.reads) > 0 {
 		if err := b.reads[min(b.prompts, len(b.reads))-1].err; err != nil {
 			return nil, err
 		}
 	}
-	return &forwarder.Handle{Target: s.Target, ID: "h"}, nil
+	return &forwarder.CacheHandle{Target: s.Target, ID: "h"}, nil
 }
 
-func (b *backend) Free(context.Context, *forwarder.Handle) error { b.freed++; return nil }
+func (b *backend) Free(context.Context, *forwarder.CacheHandle) error { b.freed++; return nil }
 
 type errorReader struct{}
 
@@ -117,14 +117,14 @@
 		Targets: func(identifier.ServiceID, time.Time) []*registrar.Target {
 			return append([]*registrar.Target(nil), targets...)
 		},
-		Book: &chooser.Book{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
-		Offered: func(identifier.ServiceID, identifier.Tokens, time.Time) {},
-		Spread:  func() time.Duration { return 0 }, Instances: func() int { return 5 },
+		States: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
+		RecordDemand:  func(identifier.ServiceID, identifier.Tokens, time.Time) {},
+		MaximumJitter: func() time.Duration { return 0 }, Instances: func() int { return 5 },
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
 			return 2 * time.Second, true
 		},
-		Began:  func(identifier.TeamID) { out.began++ },
-		Logger: zap.NewNop(), Metrics: tally.NoopScope,
+		CountRequest: func(identifier.TeamID) { out.began++ },
+		Logger:       zap.NewNop(), Metrics: tally.NoopScope,
 	}
 	if call.Host == "" {
 		call.Host, call.Path, call.Key = "h", "/p/x", "key"
@@ -256,7 +256,7 @@
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
 	long := func() *forwarder.Call {
-		return &forwarder.Call{Body: forwarder.Body{Start: []byte("start"), Rest: strings.NewReader("rest"), RestBytes: 4}, Parts: []chooser.Part{{ID: 1, Tokens: 10}}}
+		return &forwarder.Call{Body: forwarder.Body{Buffered: []byte("start"), Rest: strings.NewReader("rest"), RestBytes: 4}, Parts: []chooser.Part{{ID: 1, Tokens: 10}}}
 	}
 	b := &backend{runs: []step{notRun, {status: 200, body: "ok"}}}
 	out := serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
@@ -284,10 +284,10 @@
 }
 
 func TestBodiesAreBounded(t *testing.T) {
-	bodies := &forwarder.Bodies{Memory: 1 << 20}
+	bodies := &forwarder.BodyBuffers{MaximumBytes: 1 << 20}
 	whole, release, err := bodies.Read(strings.NewReader("text"), 4)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, whole.Whole() && string(whole.Start) == "text", quicktest.IsTrue)
+	quicktest.Check(t, whole.Whole() && string(whole.Buffered) == "text", quicktest.IsTrue)
 	release()
 	var short []func()
 	for range 100 {
@@ -301,7 +301,7 @@
 	text := strings.Repeat("x", 600<<10)
 	long, release, err := bodies.Read(strings.NewReader(text), int64(len(text)))
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, int64(len(long.Start))+long.RestBytes, quicktest.Equals, int64(len(text)))
+	quicktest.Check(t, int64(len(long.Buffered))+long.RestBytes, quicktest.Equals, int64(len(text)))
 	unknown, _, err := bodies.Read(strings.NewReader(text), -1)
 	quicktest.Assert(t, err, quicktest.IsNil)
 	quicktest.Check(t, unknown.RestBytes, quicktest.Equals, int64(-1))
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -39,7 +39,7 @@
 		}
 		j.f.Logger.Info("answer target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(t.ID)), zap.Int("Event", stream.last), zap.Error(err))
-		j.f.Book.Failed(t.ID, time.Now())
+		j.f.States.Failed(t.ID, time.Now())
 		j.failed = append(j.failed, t.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -58,7 +58,7 @@
 }
 
 // prepare chooses the answer target and has the prompt computed for it where there are targets for prompts.
-func (j *job) prepare(ctx context.Context) (*registrar.Target, *Handle, *Refusal) {
+func (j *job) prepare(ctx context.Context) (*registrar.Target, *CacheHandle, *Refusal) {
 	for {
 		if h := j.kept; h != nil {
 			j.kept = nil
@@ -72,7 +72,7 @@
 			return answer.Target, nil, nil
 		}
 		prompts := j.candidates(j.call.Parts, registrar.PrefillStage)
-		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Draw: j.draw()}, prompts)
+		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.draw()}, prompts)
 		if !ok && j.promptsFailed && j.call.Body.Whole() {
 			return nil, nil, j.givenUp(notRun("PromptTargetsFailed", comeBack, nil))
 		}
@@ -81,7 +81,7 @@
 			return answer.Target, nil, nil
 		}
 		if j.sends == 0 && len(j.failed) == 0 {
-			j.f.Offered(j.target, prompt.Fresh, time.Now())
+			j.f.RecordDemand(j.target, prompt.Uncached, time.Now())
 		}
 		// The first prompt that is read for a request is free of the budget.
 		if j.reads > 0 && !j.f.Budget.TakeRetry(j.target) {
@@ -95,7 +95,7 @@
 		j.f.Logger.Info("prompt target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(prompt.Target.ID)), zap.Duration("Predicted", prompt.Predicted), zap.Error(err))
 		j.promptsFailed = true
-		j.f.Book.Failed(prompt.Target.ID, time.Now())
+		j.f.States.Failed(prompt.Target.ID, time.Now())
 		j.failed = append(j.failed, prompt.Target.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -109,7 +109,7 @@
 }
 
 // pair chooses the answer target for a prompt that was read.
-func (j *job) pair(h *Handle) (*registrar.Target, *Handle, *Refusal) {
+func (j *job) pair(h *CacheHandle) (*registrar.Target, *CacheHandle, *Refusal) {
 	answer, ok := j.answerTarget()
 	if !ok {
 		j.free(h)
@@ -119,7 +119,9 @@
 }
 
 // draw spreads this request's choices by as much as the loads that are known of peers may be off.
-func (j *job) draw() chooser.Draw { return chooser.Draw{Seed: rand.Uint64(), Spread: j.f.Spread()} }
+func (j *job) draw() chooser.Jitter {
+	return chooser.Jitter{Seed: rand.Uint64(), Maximum: j.f.MaximumJitter()}
+}
 
 // givenUp turns a refusal that says not run into one that leaves it open, if a target may have run the request.
 func (j *job) givenUp(r *Refusal) *Refusal {
@@ -130,23 +132,23 @@
 }
 
 // read has the prompt computed.
-func (j *job) read(ctx context.Context, v chooser.Verdict) (*Handle, error) {
-	end := j.f.Book.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Fresh}, time.Now())
+func (j *job) read(ctx context.Context, v chooser.Choice) (*CacheHandle, error) {
+	end := j.f.States.Begin(v.Target.ID, chooser.Load{PromptTokens: v.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
-	h, err := j.f.Backend.ReadPrompt(ctx, j.call, j.send(v.Target, nil, ""))
+	h, err := j.f.Backend.Prefill(ctx, j.call, j.send(v.Target, nil, ""))
 	if err != nil {
 		return nil, err
 	}
-	j.f.Book.Succeeded(v.Target.ID, time.Now())
-	j.f.Book.Read(v.Target.ID, j.call.Parts, time.Now())
-	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Fresh, time.Since(started)
+	j.f.States.Succeeded(v.Target.ID, time.Now())
+	j.f.States.Prefilled(v.Target.ID, j.call.Parts, time.Now())
+	j.trace.promptTarget, j.trace.predicted, j.trace.fresh, j.trace.promptTook = v.Target.ID, v.Predicted, v.Uncached, time.Since(started)
 	j.f.Metrics.Timer("PromptRead").Record(j.trace.promptTook)
 	return h, nil
 }
 
 // free gives a handle back without holding up the request.
-func (j *job) free(h *Handle) {
+func (j *job) free(h *CacheHandle) {
 	if h == nil {
 		return
 	}
@@ -160,12 +162,12 @@
 }
 
 // generate runs the request on the answer target and relays its events.
-func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *Handle) error {
+func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *CacheHandle) error {
 	tokens := j.call.AnswerTokens
 	for _, part := range j.call.Parts {
 		tokens += part.Tokens
 	}
-	end := j.f.Book.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
+	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
 	defer end()
 	j.sends++
 	j.trace.answerTarget = t.ID
@@ -188,25 +190,25 @@
 	if err := s.relay(reply); err != nil {
 		return err
 	}
-	j.f.Book.Succeeded(t.ID, time.Now())
+	j.f.States.Succeeded(t.ID, time.Now())
 	return nil
 }
 
 // relayFailure passes a target's own failure on, unless part of the answer went out already.
-func (j *job) relayFailure(reply *Reply, s *stream) error {
+func (j *job) relayFailure(reply *Response, s *stream) error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, heldAnswerBytes))
 	if err != nil {
-		return fmt.Errorf("%w: body: %w", ErrOpen, err)
+		return fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
 	}
 	if j.wrote || j.route.Resumable && j.sends < j.route.Attempts {
-		return fmt.Errorf("%w: status %d", ErrOpen, reply.Status)
+		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, reply.Status)
 	}
 	j.writeWhole(reply, body)
 	return nil
 }
 
 // head sends the head of the first target's answer.
-func (j *job) head(reply *Reply) {
+func (j *job) head(reply *Response) {
 	if j.wrote {
 		return
 	}
