--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -86,7 +86,7 @@
 	for range entryCount {
 		e := &entry{tracker: &tracker.Tracker{HTTP: &http.Client{Transport: polls{s}}}}
 		e.tracker.SetTargets(s.targets)
-		e.tracker.SetEntries(entryCount)
+		e.tracker.SetEntryCount(entryCount)
 		s.entries = append(s.entries, e)
 	}
 	return s
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -364,7 +364,7 @@
 		}
 		e.logger.Debug("fleet changed", zap.Int("Events", len(events)))
 		e.tracker.SetTargets(e.fleet())
-		e.tracker.SetEntries(len(e.view.Load().State.GetMembers()))
+		e.tracker.SetEntryCount(len(e.view.Load().State.GetMembers()))
 		roles, draining := e.roles()
 		e.tracker.SetRoles(roles)
 		e.tracker.SetDraining(draining)
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -114,9 +114,9 @@
 	})
 }
 
-// SetEntries tells how many entry instances send to the same targets. What this one sent since a
+// SetEntryCount tells how many entry instances send to the same targets. What this one sent since a
 // report then stands for what the others sent, in part, because they do not all choose alike.
-func (t *Tracker) SetEntries(n int) {
+func (t *Tracker) SetEntryCount(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crowd = float64(max(0, n-1)) * likeness
