--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -157,7 +157,7 @@
 }
 
 // prefill computes the prompt on a prefill engine and returns the handle of its KV cache.
-func (s *Relayer) prefill(h *chat, handle tracker.Handle) (chatter.Transfer, error) {
+func (s *Relayer) prefill(h *chat, handle tracker.Assignment) (chatter.Transfer, error) {
 	var transfer chatter.Transfer
 	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, "http://"+handle.Address+"/kv/prefill", bytes.NewReader(h.body))
 	if err != nil {
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -121,7 +121,7 @@
 	return answer, nil, err
 }
 
-func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Handle, *answerer.Refusal) {
+func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Assignment, *answerer.Refusal) {
 	req := &router.Request{
 		Zone:        s.Zone,
 		Draw:        xxhash.Sum64String(string(v.id)) + uint64(attempt),
@@ -149,7 +149,7 @@
 }
 
 // send sends the call on a connection of its own unless it may be repeated; ErrNotSent means that it cannot have run.
-func (s *Relayer) send(v *serviceCall, handle tracker.Handle) (*reply, error) {
+func (s *Relayer) send(v *serviceCall, handle tracker.Assignment) (*reply, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		connected.Store(true)
@@ -184,7 +184,7 @@
 }
 
 // outbound copies the call for a target, without the caller's key.
-func (s *Relayer) outbound(ctx context.Context, v *serviceCall, handle tracker.Handle) (*http.Request, error) {
+func (s *Relayer) outbound(ctx context.Context, v *serviceCall, handle tracker.Assignment) (*http.Request, error) {
 	target := "http://" + handle.Address + v.r.URL.RequestURI()
 	req, err := http.NewRequestWithContext(ctx, v.r.Method, target, bytes.NewReader(v.body))
 	if err != nil {
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -12,8 +12,8 @@
 
 // Plan says where a chat completion runs: on one target, or computed on one and answered by another.
 type Plan struct {
-	Answer    Handle
-	Prefill   Handle
+	Answer    Assignment
+	Prefill   Assignment
 	Split     bool
 	Predicted time.Duration
 	Late      float64
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -46,8 +46,8 @@
 	targets    []*target
 }
 
-// Handle names a chosen target for the duration of one request.
-type Handle struct {
+// Assignment names a chosen target for the duration of one request.
+type Assignment struct {
 	ID      identifier.TargetID
 	Address string
 	Zone    identifier.ZoneID
@@ -151,18 +151,18 @@
 }
 
 // Choose picks a target and counts the request as sent to it; the names call back for each candidate compared.
-func (t *Tracker) Choose(name string, req *router.Request, note func(identifier.TargetID, router.Score)) (Handle, router.Score, bool) {
+func (t *Tracker) Choose(name string, req *router.Request, note func(identifier.TargetID, router.Score)) (Assignment, router.Score, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
 	if g == nil {
-		return Handle{}, router.Score{}, false
+		return Assignment{}, router.Score{}, false
 	}
 	now := time.Now()
 	t.refresh(g, now)
 	best, ok := choose(now, g, req, note)
 	if !ok {
-		return Handle{}, router.Score{}, false
+		return Assignment{}, router.Score{}, false
 	}
 	return g.take(now, req, best), best, true
 }
@@ -179,11 +179,11 @@
 }
 
 // take counts a request as sent to the chosen candidate.
-func (g *group) take(now time.Time, req *router.Request, best router.Score) Handle {
+func (g *group) take(now time.Time, req *router.Request, best router.Score) Assignment {
 	tg := g.targets[best.Index]
 	c := &g.candidates[best.Index]
 	asserter.That(c.Usable && !tg.reported.Leaving, asserter.UsableTargetChosen, "target %s", c.ID)
-	h := Handle{ID: c.ID, Address: tg.spec.Address, Zone: c.Zone, Role: c.Role, target: tg}
+	h := Assignment{ID: c.ID, Address: tg.spec.Address, Zone: c.Zone, Role: c.Role, target: tg}
 	if !req.Computed {
 		h.cost = time.Duration(float64(req.PromptTokens-best.Cached) / max(1, c.PrefillPerSecond) * float64(time.Second))
 	}
@@ -210,21 +210,21 @@
 
 // FirstToken compares the time to an answer's first token, or to the end of a prompt that is computed
 // alone, with what the prefill rate would give.
-func (t *Tracker) FirstToken(h Handle) {
+func (t *Tracker) FirstToken(h Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h.target.observe(time.Since(h.sentAt), h.queued)
 }
 
 // Tokens counts tokens of an answer, and how many of them came later after the one before than promised.
-func (t *Tracker) Tokens(h Handle, late, total int64) {
+func (t *Tracker) Tokens(h Assignment, late, total int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h.target.tokens(time.Now(), late, total)
 }
 
 // Finish ends a request that Choose counted; failed tells that the target did not serve it.
-func (t *Tracker) Finish(h Handle, failed bool) {
+func (t *Tracker) Finish(h Assignment, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
