--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -38,7 +38,7 @@
 		transfer, err := s.prefill(h, plan.Prefill)
 		s.Tracker.Finish(plan.Prefill, err != nil)
 		if err == nil {
-			s.Tracker.FirstToken(plan.Prefill)
+			s.Tracker.ObserveFirstToken(plan.Prefill)
 			req.Header.Set(chatter.HandleHeader, transfer.Handle)
 		}
 	}
@@ -112,7 +112,7 @@
 // countToken observes the attempt's first token, and whether a later one came later than promised.
 func (s *Relayer) countToken(h *chat, now time.Time) {
 	if h.lastToken.IsZero() {
-		s.Tracker.FirstToken(h.plan.Answer)
+		s.Tracker.ObserveFirstToken(h.plan.Answer)
 	} else {
 		h.tokens++
 		promised := time.Duration(h.view.Promise().GetBetweenTokensMilliseconds()) * time.Millisecond
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -286,7 +286,7 @@
 	h.accounted = h.delivered
 	h.countedAt = time.Now()
 	if h.plan.Answer.ID != "" {
-		s.Tracker.Tokens(h.plan.Answer, h.late, h.tokens)
+		s.Tracker.ObserveTokens(h.plan.Answer, h.late, h.tokens)
 		h.late, h.tokens = 0, 0
 	}
 }
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -208,16 +208,16 @@
 	}
 }
 
-// FirstToken compares the time to an answer's first token, or to the end of a prompt that is computed
+// ObserveFirstToken compares the time to an answer's first token, or to the end of a prompt that is computed
 // alone, with what the prefill rate would give.
-func (t *Tracker) FirstToken(h Assignment) {
+func (t *Tracker) ObserveFirstToken(h Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h.target.observe(time.Since(h.sentAt), h.queued)
 }
 
-// Tokens counts tokens of an answer, and how many of them came later after the one before than promised.
-func (t *Tracker) Tokens(h Assignment, late, total int64) {
+// ObserveTokens counts tokens of an answer, and how many of them came later after the one before than promised.
+func (t *Tracker) ObserveTokens(h Assignment, late, total int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h.target.tokens(time.Now(), late, total)
