--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -160,11 +160,11 @@
 		compared = append(compared, candidateLog{ID: id, PredictedMilliseconds: score.Predicted.Milliseconds(), CachedTokens: score.Cached})
 	}
 	name := tracker.ModelGroup(identifier.ModelID(h.request.Model))
-	plan, ok := s.Tracker.Plan(name, req, note)
+	plan, ok := s.Tracker.PlanCompletion(name, req, note)
 	if !ok && len(h.tried) > 0 {
 		// All usable targets failed once; one that failed may resume its own stream.
 		clear(h.tried)
-		plan, ok = s.Tracker.Plan(name, req, note)
+		plan, ok = s.Tracker.PlanCompletion(name, req, note)
 	}
 	if !ok {
 		return plan, &answerer.Refusal{
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -20,9 +20,9 @@
 	Cached    identifier.Tokens
 }
 
-// Plan picks the way with the lowest cost: a mixed engine, or a prefill engine and one that answers.
+// PlanCompletion picks the way with the lowest cost: a mixed engine, or a prefill engine and one that answers.
 // Where there is neither, a decode engine computes the prompt itself.
-func (t *Tracker) Plan(name string, req router.Request, note func(identifier.TargetID, router.Score)) (Plan, bool) {
+func (t *Tracker) PlanCompletion(name string, req router.Request, note func(identifier.TargetID, router.Score)) (Plan, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
