--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -15,8 +15,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 )
 
-// ErrWrongAnswer is returned when a target's answer belongs to another request or lacks tokens.
-var ErrWrongAnswer = errors.New("answer does not fit the request")
+// ErrInvalidAnswer is returned when a target's answer belongs to another request or lacks tokens.
+var ErrInvalidAnswer = errors.New("answer does not fit the request")
 
 // ErrTargetStatus is returned when a target answered with an error status.
 var ErrTargetStatus = errors.New("target refused the request")
@@ -53,7 +53,7 @@
 		return fmt.Errorf("%w: status %d", ErrTargetStatus, resp.StatusCode)
 	}
 	if id := resp.Header.Get(chatter.RequestIDHeader); id != string(h.id) {
-		return fmt.Errorf("%w: it is for request %q", ErrWrongAnswer, id)
+		return fmt.Errorf("%w: it is for request %q", ErrInvalidAnswer, id)
 	}
 	h.attempted = attempted{plan: plan}
 	return s.relay(h, chatter.NewEventReader(resp.Body), alive)
@@ -73,12 +73,12 @@
 		alive(betweenTokensStall)
 		if event.Done() {
 			if h.usage == nil {
-				return fmt.Errorf("%w: it ends without its last chunk", ErrWrongAnswer)
+				return fmt.Errorf("%w: it ends without its last chunk", ErrInvalidAnswer)
 			}
 			return nil
 		}
 		if !bytes.Contains(event.Data, own) {
-			return fmt.Errorf("%w: a chunk names another request", ErrWrongAnswer)
+			return fmt.Errorf("%w: a chunk names another request", ErrInvalidAnswer)
 		}
 		if err := s.relayEvent(h, event); err != nil {
 			return err
@@ -88,7 +88,7 @@
 
 func (s *Relayer) relayEvent(h *chat, event chatter.Event) error {
 	if event.Number > h.delivered+1 {
-		return fmt.Errorf("%w: token %d follows token %d", ErrWrongAnswer, event.Number, h.delivered)
+		return fmt.Errorf("%w: token %d follows token %d", ErrInvalidAnswer, event.Number, h.delivered)
 	}
 	if event.Number <= h.delivered {
 		return s.relayLast(h, event)
@@ -99,7 +99,7 @@
 	if !h.request.Stream {
 		var chunk chatter.Completion
 		if err := json.Unmarshal(event.Data, &chunk); err != nil || len(chunk.Choices) == 0 || chunk.Choices[0].Delta == nil {
-			return fmt.Errorf("%w: chunk %d cannot be read", ErrWrongAnswer, event.Number)
+			return fmt.Errorf("%w: chunk %d cannot be read", ErrInvalidAnswer, event.Number)
 		}
 		h.text.WriteString(chunk.Choices[0].Delta.Content)
 	}
@@ -127,7 +127,7 @@
 func (s *Relayer) relayLast(h *chat, event chatter.Event) error {
 	var chunk chatter.Completion
 	if err := json.Unmarshal(event.Data, &chunk); err != nil {
-		return fmt.Errorf("%w: %w", ErrWrongAnswer, err)
+		return fmt.Errorf("%w: %w", ErrInvalidAnswer, err)
 	}
 	if len(chunk.Choices) == 0 || chunk.Choices[0].FinishReason == nil || event.Number != h.delivered || h.usage != nil {
 		return nil
--- a/internal/relayer/relay_test.go
+++ b/internal/relayer/relay_test.go
@@ -108,7 +108,7 @@
 	return &relayer.Relayer{
 		Limits: parser.Limits{BodyBytes: 1 << 20, BodyTimeout: time.Second, RequestTimeout: 5 * time.Second}, Tracker: tr,
 		Ledger: &accounter.Ledger{Origin: "o"}, Meter: &limiter.Meter{}, Budget: &retrier.Budget{Share: 1, Reserve: 10},
-		Logger: zap.NewNop(), Metrics: tally.NoopScope, HTTP: http.DefaultClient, Once: http.DefaultClient,
+		Logger: zap.NewNop(), Metrics: tally.NoopScope, HTTP: http.DefaultClient, NoKeepAliveHTTP: http.DefaultClient,
 		View: func() *configurator.View { return view }, Serving: func() bool { return true },
 		Share: func(identifier.TeamID, identifier.ModelID) (float64, float64) { return 0, 1 },
 	}
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -47,7 +47,7 @@
 	Logger   *zap.Logger
 	Metrics  tally.Scope
 	HTTP     *http.Client
-	Once     *http.Client
+	NoKeepAliveHTTP     *http.Client
 	View     func() *configurator.View
 	Serving  func() bool
 	Share    func(team identifier.TeamID, model identifier.ModelID) (rate, share float64)
--- a/internal/relayer/run_test.go
+++ b/internal/relayer/run_test.go
@@ -46,7 +46,7 @@
 	r.View = func() *configurator.View { return view }
 	r.Tracker.SetTargets(state.Inventory.Targets)
 	r.HTTP = networker.Client(networker.TCP{}, true)
-	r.Once = networker.Client(networker.TCP{}, false)
+	r.NoKeepAliveHTTP = networker.Client(networker.TCP{}, false)
 	r.Journal = &journal{}
 	return r
 }
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -163,7 +163,7 @@
 	assertNoKey(req)
 	client := s.HTTP
 	if !v.repeatable() {
-		client = s.Once
+		client = s.NoKeepAliveHTTP
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -178,7 +178,7 @@
 		return nil, err
 	}
 	if int64(len(body)) > s.Limits.BodyBytes {
-		return nil, fmt.Errorf("%w: larger than BodyBytes", ErrWrongAnswer)
+		return nil, fmt.Errorf("%w: larger than BodyBytes", ErrInvalidAnswer)
 	}
 	return &reply{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), body: body}, nil
 }
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -187,7 +187,7 @@
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
 		Budget: &retrier.Budget{Share: retryShare, Reserve: retryReserve}, Journal: journalOf{e},
-		Logger: e.logger, HTTP: e.http, Once: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
+		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
 
