--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -37,22 +37,22 @@
 
 // Relayer serves callers' requests; all exported fields must be set.
 type Relayer struct {
-	Zone     identifier.ZoneID
-	Limits   parser.Limits
-	Tracker  *tracker.Tracker
-	Ledger   *accounter.Ledger
-	Meter    *limiter.Meter
-	Budget   *retrier.Budget
-	Journal  Journal
-	Logger   *zap.Logger
-	Metrics  tally.Scope
-	HTTP     *http.Client
-	NoKeepAliveHTTP     *http.Client
-	View     func() *configurator.View
-	Serving  func() bool
-	Share    func(team identifier.TeamID, model identifier.ModelID) (rate, share float64)
-	inFlight inFlightKeys
-	records  sync.WaitGroup
+	Zone            identifier.ZoneID
+	Limits          parser.Limits
+	Tracker         *tracker.Tracker
+	Ledger          *accounter.Ledger
+	Meter           *limiter.Meter
+	Budget          *retrier.Budget
+	Journal         Journal
+	Logger          *zap.Logger
+	Metrics         tally.Scope
+	HTTP            *http.Client
+	NoKeepAliveHTTP *http.Client
+	View            func() *configurator.View
+	Serving         func() bool
+	Share           func(team identifier.TeamID, model identifier.ModelID) (rate, share float64)
+	inFlight        inFlightKeys
+	records         sync.WaitGroup
 }
 
 // call is one request of a caller.
