--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -187,7 +187,7 @@
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
 		Budget: &retrier.Budget{Ratio: retryShare, Burst: retryReserve}, Journal: journalOf{e},
-		Logger: e.logger, HTTP: e.http, Once: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
+		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
 
@@ -364,7 +364,7 @@
 		}
 		e.logger.Debug("fleet changed", zap.Int("Events", len(events)))
 		e.tracker.SetTargets(e.fleet())
-		e.tracker.SetEntries(len(e.view.Load().State.GetMembers()))
+		e.tracker.SetEntryCount(len(e.view.Load().State.GetMembers()))
 		roles, draining := e.roles()
 		e.tracker.SetRoles(roles)
 		e.tracker.SetDraining(draining)
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -12,17 +12,17 @@
 
 // Plan says where a chat completion runs: on one target, or computed on one and answered by another.
 type Plan struct {
-	Answer    Handle
-	Prefill   Handle
+	Answer    Assignment
+	Prefill   Assignment
 	Split     bool
 	Predicted time.Duration
 	Late      float64
 	Cached    identifier.Tokens
 }
 
-// Plan picks the way with the lowest cost: a mixed engine, or a prefill engine and one that answers.
+// PlanCompletion picks the way with the lowest cost: a mixed engine, or a prefill engine and one that answers.
 // Where there is neither, a decode engine computes the prompt itself.
-func (t *Tracker) Plan(name string, req router.Request, note func(identifier.TargetID, router.Score)) (Plan, bool) {
+func (t *Tracker) PlanCompletion(name string, req router.Request, note func(identifier.TargetID, router.Score)) (Plan, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
