--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -150,7 +150,7 @@
 	c.calls = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.calls, Logger: c.logger, Status: c.status, Complete: c.complete, Heard: c.heard, Learned: c.learned}
+	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.calls, Logger: c.logger, Status: c.status, AddPayload: c.complete, OnStatus: c.heard, OnMessage: c.learned}
 }
 
 func (c *Coordinator) wireDuties() {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -59,12 +59,12 @@
 	Logger *zap.Logger
 	// Status returns what this instance says of itself.
 	Status func(now time.Time) *Status
-	// Complete adds what goes with the statuses to a beat, by what the peer last said it knows; last is nil for a peer that
+	// AddPayload adds what goes with the statuses to a beat, by what the peer last said it knows; last is nil for a peer that
 	// has not said anything.
-	Complete func(b, last *Beat)
-	// Heard takes a status that is newer than the one before, and Learned what came with a beat.
-	Heard   func(s *Status, now time.Time)
-	Learned func(b *Beat, now time.Time)
+	AddPayload func(b, last *Beat)
+	// OnStatus takes a status that is newer than the one before, and Learned what came with a beat.
+	OnStatus   func(s *Status, now time.Time)
+	OnMessage func(b *Beat, now time.Time)
 
 	mu       sync.Mutex
 	ctx      context.Context
@@ -193,10 +193,10 @@
 	}
 	for _, s := range b.Statuses {
 		if g.update(s, now) {
-			g.Heard(s, now)
+			g.OnStatus(s, now)
 		}
 	}
-	g.Learned(b, now)
+	g.OnMessage(b, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[b.Statuses[0].Member.ID]
@@ -255,7 +255,7 @@
 		}
 	}
 	g.mu.Unlock()
-	g.Complete(b, last)
+	g.AddPayload(b, last)
 	return b
 }
 
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -65,7 +65,7 @@
 		Status: func(now time.Time) *gossiper.Status {
 			return &gossiper.Status{Ready: true, UnixMilliseconds: now.UnixMilli()}
 		},
-		Complete: func(_, _ *gossiper.Beat) {}, Heard: func(*gossiper.Status, time.Time) {}, Learned: func(*gossiper.Beat, time.Time) {},
+		AddPayload: func(_, _ *gossiper.Beat) {}, OnStatus: func(*gossiper.Status, time.Time) {}, OnMessage: func(*gossiper.Beat, time.Time) {},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
