--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -99,7 +99,7 @@
 	for _, p := range c.keeper.Pending() {
 		c.registry.Ordered(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 func describe(name string, m *mirrorer.Mirror, from identifier.Offset, now time.Time) *gossiper.Stream {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -211,7 +211,7 @@
 
 // spread is how far apart the predictions of two instances may be, by the age of what they know of each other.
 func (c *Coordinator) spread() time.Duration {
-	if c.peers.Large() {
+	if c.peers.UsesHubs() {
 		return spreadLarge
 	}
 	return spreadSmall
@@ -301,7 +301,7 @@
 	}
 	c.logger.Info("configuration in force", zap.Uint64("Version", uint64(cfg.Version)), zap.Uint64("Offset", uint64(r.Offset)),
 		zap.Int("Routes", len(cfg.Routes)), zap.Int("Teams", len(cfg.Teams)))
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 // targetChanged takes a target's entry. One that cannot be read names no target to use.
@@ -310,7 +310,7 @@
 	if len(r.Value) == 0 {
 		c.registry.Drop(id, time.Now())
 		c.logger.Info("target gone", zap.String("Target", r.Key), zap.Uint64("Offset", uint64(r.Offset)))
-		c.peers.Wake()
+		c.peers.SendNow()
 		return
 	}
 	t, err := c.platform.DecodeTarget(r.Key, r.Value)
@@ -325,7 +325,7 @@
 	}
 	c.logger.Info("target", zap.String("Target", r.Key), zap.String("Service", string(t.Service)), zap.String("Zone", string(t.Zone)),
 		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Beat), zap.Uint64("Offset", uint64(r.Offset)))
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 func (c *Coordinator) memberChanged(r mirrorer.Record) {
@@ -337,5 +337,5 @@
 		c.logger.Warn("member record not readable", zap.String("Key", r.Key), zap.Error(err))
 		return
 	}
-	c.peers.Know(m)
+	c.peers.AddMember(m)
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -60,7 +60,7 @@
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
 		New:    func() proto.Message { return &gossiper.Beat{} },
-		Answer: func(req proto.Message) proto.Message { return c.peers.Answer(req.(*gossiper.Beat)) },
+		Answer: func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
 		Logger: c.logger,
 	}
 	targets := c.follow(streamTargets, c.platform.Targets, &c.targets, c.readAge)
@@ -103,7 +103,7 @@
 
 func (c *Coordinator) delay() time.Duration {
 	rank := c.rank()
-	most := OldestCopy(c.peers.Large(), rank) - readerAge
+	most := OldestCopy(c.peers.UsesHubs(), rank) - readerAge
 	return min(most, time.Duration(rank)*rankDelay)
 }
 
@@ -288,7 +288,7 @@
 	c.leaving.Store(true)
 	c.logger.Info("leaving", zap.Int64("InFlight", c.inFlight.Load()))
 	yield()
-	c.peers.Wake()
+	c.peers.SendNow()
 	client.SetKeepAlivesEnabled(false)
 	time.Sleep(leaveTime)
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -100,9 +100,9 @@
 	g.group.Wait()
 }
 
-// Know adds a peer that others know, or its new incarnation if the one before is no longer alive: what others know may be
+// AddMember adds a peer that others know, or its new incarnation if the one before is no longer alive: what others know may be
 // older.
-func (g *Gossiper) Know(m *Member) {
+func (g *Gossiper) AddMember(m *Member) {
 	g.mu.Lock()
 	old := g.peers[m.GetID()]
 	alive := old != nil && time.Since(old.HeardAt) <= g.aliveTime()
@@ -149,14 +149,14 @@
 	return nil
 }
 
-// Answer takes a peer's beat and returns the one for it.
-func (g *Gossiper) Answer(b *Beat) *Beat {
+// Handle takes a peer's beat and returns the one for it.
+func (g *Gossiper) Handle(b *Beat) *Beat {
 	p := g.hear(b)
 	return g.compose(p)
 }
 
-// Wake sends the next beats at once.
-func (g *Gossiper) Wake() {
+// SendNow sends the next beats at once.
+func (g *Gossiper) SendNow() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
@@ -189,7 +189,7 @@
 	}
 	now := time.Now()
 	for _, m := range b.Members {
-		g.Know(m)
+		g.AddMember(m)
 	}
 	for _, s := range b.Statuses {
 		if g.update(s, now) {
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -48,7 +48,7 @@
 		return errCut
 	}
 	time.Sleep(time.Millisecond)
-	proto.Merge(reply, to.Answer(proto.Clone(req).(*gossiper.Beat)))
+	proto.Merge(reply, to.Handle(proto.Clone(req).(*gossiper.Beat)))
 	return nil
 }
 
@@ -169,7 +169,7 @@
 		n := fl.nodes["entry-05"]
 		fl.mu.Unlock()
 		for range 20 {
-			n.Know(&gossiper.Member{ID: "entry-03", Incarnation: "first", Zone: "zone-0", PeerAddress: "entry-03", Capacity: 400})
+			n.AddMember(&gossiper.Member{ID: "entry-03", Incarnation: "first", Zone: "zone-0", PeerAddress: "entry-03", Capacity: 400})
 			quicktest.Assert(t, fl.unaware(7), quicktest.Equals, "")
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -30,8 +30,8 @@
 	suspectTime = 5 * time.Second
 )
 
-// Large tells that the fleet is too large for a mesh.
-func (g *Gossiper) Large() bool {
+// UsesHubs tells that the fleet is too large for a mesh.
+func (g *Gossiper) UsesHubs() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.large()
