--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -189,10 +189,10 @@
 // trueTime is the median of the times of day of all instances, so that a few that jump do not matter.
 func (c *Coordinator) trueTime() time.Time {
 	now := time.Now()
-	ahead := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Steady(now)}
+	ahead := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Monotonic(now)}
 	for _, p := range c.peers.Alive(now) {
-		ahead = append(ahead, p.ClockAhead)
+		ahead = append(ahead, p.ClockOffset)
 	}
 	slices.Sort(ahead)
-	return time.Unix(0, int64(ahead[len(ahead)/2]+gossiper.Steady(now)))
+	return time.Unix(0, int64(ahead[len(ahead)/2]+gossiper.Monotonic(now)))
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -95,7 +95,7 @@
 
 // memberAge is the same for the list of members, which fills in the first seconds and rarely changes later.
 func (c *Coordinator) memberAge() time.Duration {
-	if gossiper.Steady(time.Now()) < gatherTime {
+	if gossiper.Monotonic(time.Now()) < gatherTime {
 		return gatherAge
 	}
 	return memberAge + c.delay()
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -43,10 +43,10 @@
 	Member  *Member
 	Ready   bool
 	Leaving bool
-	// HeardAt is when its last status was made.
-	HeardAt time.Time
-	// ClockAhead is how much its time of day is ahead of the steady clock here.
-	ClockAhead time.Duration
+	// StatusAt is when its last status was made.
+	StatusAt time.Time
+	// ClockOffset is how much its time of day is ahead of the steady clock here.
+	ClockOffset time.Duration
 }
 
 // Gossiper exchanges beats with its partners; exported fields must be set before Run.
@@ -105,7 +105,7 @@
 func (g *Gossiper) AddMember(m *Member) {
 	g.mu.Lock()
 	old := g.peers[m.GetID()]
-	alive := old != nil && time.Since(old.HeardAt) <= g.aliveTime()
+	alive := old != nil && time.Since(old.StatusAt) <= g.aliveTime()
 	g.mu.Unlock()
 	if !alive {
 		g.adopt(m)
@@ -174,7 +174,7 @@
 	life := g.aliveTime()
 	list := make([]Peer, 0, len(g.peers))
 	for _, p := range g.peers {
-		if now.Sub(p.HeardAt) <= life {
+		if now.Sub(p.StatusAt) <= life {
 			list = append(list, p.Peer)
 		}
 	}
@@ -216,7 +216,7 @@
 	g.mu.Lock()
 	p := g.peers[m.ID]
 	// An old status of an incarnation that was replaced must not bring it back.
-	stale := p != nil && p.Member.Incarnation != m.Incarnation && made.Before(p.HeardAt)
+	stale := p != nil && p.Member.Incarnation != m.Incarnation && made.Before(p.StatusAt)
 	g.mu.Unlock()
 	if stale {
 		return false
@@ -228,8 +228,8 @@
 	if p == nil || p.Member.Incarnation != m.Incarnation || p.status != nil && s.Sequence <= p.status.Sequence {
 		return false
 	}
-	p.status, p.Ready, p.Leaving, p.HeardAt = s, s.Ready, s.Leaving, made
-	p.ClockAhead = time.Duration(s.UnixMilliseconds)*time.Millisecond - Steady(made)
+	p.status, p.Ready, p.Leaving, p.StatusAt = s, s.Ready, s.Leaving, made
+	p.ClockOffset = time.Duration(s.UnixMilliseconds)*time.Millisecond - Monotonic(made)
 	return true
 }
 
@@ -259,11 +259,11 @@
 	return b
 }
 
-// steadyStart is the origin of this process's steady clock.
-var steadyStart = time.Now()
+// monotonicOrigin is the origin of this process's steady clock.
+var monotonicOrigin = time.Now()
 
-// Steady returns the time since the process's steady clock began.
-func Steady(now time.Time) time.Duration { return now.Sub(steadyStart) }
+// Monotonic returns the time since the process's steady clock began.
+func Monotonic(now time.Time) time.Duration { return now.Sub(monotonicOrigin) }
 
 // launch starts the exchanges with a peer; the caller holds the lock.
 func (g *Gossiper) launch(p *peer) {
@@ -306,7 +306,7 @@
 	defer g.mu.Unlock()
 	p.failedAt = now
 	g.hubsAt = time.Time{}
-	if now.Sub(p.HeardAt) > goneTime {
+	if now.Sub(p.StatusAt) > goneTime {
 		return gonePause
 	}
 	return retryPause
--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -110,7 +110,7 @@
 	}
 	byZone := map[string][]string{g.Self.Zone: {g.Self.ID}}
 	for id, p := range g.peers {
-		silent := !p.HeardAt.IsZero() && now.Sub(p.HeardAt) > relayAlive
+		silent := !p.StatusAt.IsZero() && now.Sub(p.StatusAt) > relayAlive
 		suspect := !p.failedAt.IsZero() && now.Sub(p.failedAt) < suspectTime
 		if !silent && !suspect && !p.Leaving {
 			byZone[p.Member.Zone] = append(byZone[p.Member.Zone], id)
@@ -152,7 +152,7 @@
 	}
 	var list []*Status
 	for id, other := range g.peers {
-		if id == p.Member.ID || other.status == nil || now.Sub(other.HeardAt) > relayAlive {
+		if id == p.Member.ID || other.status == nil || now.Sub(other.StatusAt) > relayAlive {
 			continue
 		}
 		key := id + "/" + other.Member.Incarnation
@@ -161,7 +161,7 @@
 		}
 		p.told[key] = other.status.Sequence
 		s := proto.Clone(other.status).(*Status)
-		s.AgeMilliseconds = now.Sub(other.HeardAt).Milliseconds()
+		s.AgeMilliseconds = now.Sub(other.StatusAt).Milliseconds()
 		list = append(list, s)
 	}
 	return list
