--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -137,13 +137,13 @@
 }
 
 func (c *Coordinator) wireViews() {
-	c.config.Changed = c.configurationChanged
-	c.targets.Changed = c.targetChanged
-	c.targets.Same = c.platform.SameTarget
-	c.members.Changed = c.memberChanged
-	c.targets.Outage = shortestOutage
-	c.targets.Failing = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
-	c.registry.StoreReturned = c.targets.Regained
+	c.config.OnChange = c.configurationChanged
+	c.targets.OnChange = c.targetChanged
+	c.targets.Equivalent = c.platform.SameTarget
+	c.members.OnChange = c.memberChanged
+	c.targets.OutageThreshold = shortestOutage
+	c.targets.FailingFor = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
+	c.registry.StoreReturned = c.targets.RecoveredAt
 }
 
 func (c *Coordinator) wirePeers() {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -85,7 +85,7 @@
 		m := &mirrorer.Mirror{}
 		ctx, cancel := context.WithCancel(context.Background())
 		fl := &follower.Follower{Name: "Targets", Stream: s, Mirror: m, Logger: zap.NewNop(), MaximumAge: func() time.Duration { return maximumAge }}
-		m.Failing = fl.Failing
+		m.FailingFor = fl.Failing
 		done := make(chan struct{})
 		go func() { defer close(done); fl.Run(ctx) }()
 		time.Sleep(time.Second)
@@ -144,7 +144,7 @@
 	s := &stream{}
 	s.put("a", "1")
 	follow(t, s, func(m *mirrorer.Mirror) {
-		m.Outage = 2 * time.Second
+		m.OutageThreshold = 2 * time.Second
 		s.setAway(true)
 		time.Sleep(time.Second)
 		for range 50 {
@@ -155,12 +155,12 @@
 		s.put("a", "")
 		time.Sleep(time.Second)
 		quicktest.Check(t, value(m, "a"), quicktest.Equals, "")
-		quicktest.Check(t, m.Regained().IsZero(), quicktest.IsTrue)
+		quicktest.Check(t, m.RecoveredAt().IsZero(), quicktest.IsTrue)
 		s.setAway(true)
 		time.Sleep(4 * time.Second)
 		s.setAway(false)
 		time.Sleep(time.Second)
-		quicktest.Check(t, time.Since(m.Regained()) < 2*time.Second, quicktest.IsTrue)
+		quicktest.Check(t, time.Since(m.RecoveredAt()) < 2*time.Second, quicktest.IsTrue)
 	})
 }
 
--- a/internal/mirrorer/mirror.go
+++ b/internal/mirrorer/mirror.go
@@ -19,15 +19,15 @@
 //
 // Records may arrive in any order and more than once: of each key the one with the highest offset stays.
 type Mirror struct {
-	// Changed is called, without the lock, for each record that replaced an older one; it may be nil.
-	Changed func(Record)
-	// Same tells that a newer value means the same as the one before, so that peers need not hear of it; it may be nil.
-	Same func(older, newer []byte) bool
-	// Outage is how long nobody must have brought news, while calls failed, for the stream to count as away; zero: never.
-	Outage time.Duration
-	// Failing returns for how long this instance's own calls have failed: without such a failure a gap in the news is a
+	// OnChange is called, without the lock, for each record that replaced an older one; it may be nil.
+	OnChange func(Record)
+	// Equivalent tells that a newer value means the same as the one before, so that peers need not hear of it; it may be nil.
+	Equivalent func(older, newer []byte) bool
+	// OutageThreshold is how long nobody must have brought news, while calls failed, for the stream to count as away; zero: never.
+	OutageThreshold time.Duration
+	// FailingFor returns for how long this instance's own calls have failed: without such a failure a gap in the news is a
 	// pause of this instance, or of its peers. It must be set where Outage is.
-	Failing func(now time.Time) time.Duration
+	FailingFor func(now time.Time) time.Duration
 
 	mu      sync.Mutex
 	records map[string]Record
@@ -42,11 +42,11 @@
 // A zero asOf tells that the sender never heard the store, so freshness stays as it is.
 func (m *Mirror) Apply(records []Record, next identifier.Offset, asOf time.Time) {
 	changed := m.merge(records, next, asOf)
-	if m.Changed == nil {
+	if m.OnChange == nil {
 		return
 	}
 	for _, r := range changed {
-		m.Changed(r)
+		m.OnChange(r)
 	}
 }
 
@@ -78,7 +78,7 @@
 		if known && old.Offset >= r.Offset {
 			continue
 		}
-		if known && m.Same != nil && len(r.Value) > 0 && m.Same(old.Value, r.Value) {
+		if known && m.Equivalent != nil && len(r.Value) > 0 && m.Equivalent(old.Value, r.Value) {
 			continue
 		}
 		m.records[r.Key] = r
@@ -86,7 +86,7 @@
 	}
 	m.next = max(m.next, next)
 	if asOf.After(m.freshAt) && next >= m.next {
-		if m.Outage > 0 && !m.freshAt.IsZero() && asOf.Sub(m.freshAt) >= m.Outage && m.Failing(asOf) >= m.Outage {
+		if m.OutageThreshold > 0 && !m.freshAt.IsZero() && asOf.Sub(m.freshAt) >= m.OutageThreshold && m.FailingFor(asOf) >= m.OutageThreshold {
 			m.regained = asOf
 		}
 		m.freshAt = asOf
@@ -111,10 +111,10 @@
 	return now.Sub(m.freshAt), true
 }
 
-// Regained returns when news came after the last outage, or zero.
+// RecoveredAt returns when news came after the last outage, or zero.
 //
 // A store that refuses this instance alone is not away: peers bring the news.
-func (m *Mirror) Regained() time.Time {
+func (m *Mirror) RecoveredAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.regained
