--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -64,7 +64,7 @@
 		Logger: c.logger,
 	}
 	targets := c.follow(streamTargets, c.platform.Targets, &c.targets, c.readAge)
-	c.targets.FailingFor = targets.Failing
+	c.targets.FailingFor = targets.FailingFor
 	for _, duty := range []func(context.Context){
 		c.peers.Run, c.contactSeeds, c.register, c.tidy, c.watchSettings,
 		c.follow(streamConfiguration, c.platform.Configuration, &c.config, c.readAge).Run,
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Failing returns for how long the calls have failed, if the mirror has not been fresh since.
-func (f *Follower) Failing(now time.Time) time.Duration {
+// FailingFor returns for how long the calls have failed, if the mirror has not been fresh since.
+func (f *Follower) FailingFor(now time.Time) time.Duration {
 	at := f.awayAt.Load()
 	if at == nil {
 		return 0
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -85,7 +85,7 @@
 		m := &mirrorer.Mirror{}
 		ctx, cancel := context.WithCancel(context.Background())
 		fl := &follower.Follower{Name: "Targets", Stream: s, Mirror: m, Logger: zap.NewNop(), MaximumAge: func() time.Duration { return maximumAge }}
-		m.FailingFor = fl.Failing
+		m.FailingFor = fl.FailingFor
 		done := make(chan struct{})
 		go func() { defer close(done); fl.Run(ctx) }()
 		time.Sleep(time.Second)
