--- a/internal/commander/entry.go
+++ b/internal/commander/entry.go
@@ -51,7 +51,7 @@
 	logger := NewLogger(zapcore.Lock(zapcore.AddSync(env.Stdout)), c.Debug).With(zap.String("Instance", string(c.settings.Instance)))
 	// kratos logs by a logger that all of the process shares.
 	log.SetLogger(kratosLogger{logger})
-	faces := coordinator.Faces{
+	faces := coordinator.Handlers{
 		Client: func(co *coordinator.Coordinator) http.Handler {
 			return &platform.Ingress{Server: co, Limits: co.Limits, Bodies: &co.Bodies, Logger: logger}
 		},
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -69,8 +69,8 @@
 	SameTarget          func(older, newer []byte) bool
 }
 
-// Faces are the handlers for those who call an entry instance.
-type Faces struct {
+// Handlers are the handlers for those who call an entry instance.
+type Handlers struct {
 	Client    func(c *Coordinator) http.Handler
 	Ready     func(c *Coordinator) http.Handler
 	Directory func(c *Coordinator) http.Handler
@@ -79,7 +79,7 @@
 // Coordinator is one entry instance; use New.
 type Coordinator struct {
 	platform Platform
-	faces    Faces
+	faces    Handlers
 	logger   *zap.Logger
 	reload   func() (*parser.EntrySettings, error)
 	settings atomic.Pointer[parser.EntrySettings]
@@ -119,7 +119,7 @@
 }
 
 // New prepares an entry instance; reload reads the settings again.
-func New(settings *parser.EntrySettings, p Platform, faces Faces, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
+func New(settings *parser.EntrySettings, p Platform, faces Handlers, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
 	c := &Coordinator{platform: p, faces: faces, logger: logger, reload: reload, told: map[string]*told{}}
 	c.settings.Store(settings)
 	c.bounds = settings.Bounds
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -103,13 +103,13 @@
 
 func (c *Coordinator) delay() time.Duration {
 	rank := c.rank()
-	most := OldestCopy(c.peers.UsesHubs(), rank) - readerAge
+	most := MaximumCopyAge(c.peers.UsesHubs(), rank) - readerAge
 	return min(most, time.Duration(rank)*rankDelay)
 }
 
-// OldestCopy is how old the instance of a rank lets its copies of the configuration and the targets grow by what beats
+// MaximumCopyAge is how old the instance of a rank lets its copies of the configuration and the targets grow by what beats
 // tell. They may be older in truth by the time that an exchange took.
-func OldestCopy(large bool, rank int) time.Duration {
+func MaximumCopyAge(large bool, rank int) time.Duration {
 	if large && rank >= hubReaders {
 		return readerAge + mostDelayLarge
 	}
