--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -99,7 +99,7 @@
 	for _, p := range c.keeper.Pending() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 func describe(name string, m *mirrorer.Mirror, from identifier.Offset, now time.Time) *gossiper.Stream {
@@ -189,10 +189,10 @@
 // trueTime is the median of the times of day of all instances, so that a few that jump do not matter.
 func (c *Coordinator) trueTime() time.Time {
 	now := time.Now()
-	ahead := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Steady(now)}
+	ahead := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Monotonic(now)}
 	for _, p := range c.peers.Alive(now) {
-		ahead = append(ahead, p.ClockAhead)
+		ahead = append(ahead, p.ClockOffset)
 	}
 	slices.Sort(ahead)
-	return time.Unix(0, int64(ahead[len(ahead)/2]+gossiper.Steady(now)))
+	return time.Unix(0, int64(ahead[len(ahead)/2]+gossiper.Monotonic(now)))
 }
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -69,8 +69,8 @@
 	SameTarget          func(older, newer []byte) bool
 }
 
-// Faces are the handlers for those who call an entry instance.
-type Faces struct {
+// Handlers are the handlers for those who call an entry instance.
+type Handlers struct {
 	Client    func(c *Coordinator) http.Handler
 	Ready     func(c *Coordinator) http.Handler
 	Directory func(c *Coordinator) http.Handler
@@ -79,7 +79,7 @@
 // Coordinator is one entry instance; use New.
 type Coordinator struct {
 	platform Platform
-	faces    Faces
+	faces    Handlers
 	logger   *zap.Logger
 	reload   func() (*parser.EntrySettings, error)
 	settings atomic.Pointer[parser.EntrySettings]
@@ -119,7 +119,7 @@
 }
 
 // New prepares an entry instance; reload reads the settings again.
-func New(settings *parser.EntrySettings, p Platform, faces Faces, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
+func New(settings *parser.EntrySettings, p Platform, faces Handlers, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
 	c := &Coordinator{platform: p, faces: faces, logger: logger, reload: reload, told: map[string]*told{}}
 	c.settings.Store(settings)
 	c.bounds = settings.Bounds
@@ -137,20 +137,20 @@
 }
 
 func (c *Coordinator) wireViews() {
-	c.config.Changed = c.configurationChanged
-	c.targets.Changed = c.targetChanged
-	c.targets.Same = c.platform.SameTarget
-	c.members.Changed = c.memberChanged
-	c.targets.Outage = shortestOutage
-	c.targets.Failing = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
-	c.registry.StoreRestoredAt = c.targets.Regained
+	c.config.OnChange = c.configurationChanged
+	c.targets.OnChange = c.targetChanged
+	c.targets.Equivalent = c.platform.SameTarget
+	c.members.OnChange = c.memberChanged
+	c.targets.OutageThreshold = shortestOutage
+	c.targets.FailingFor = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
+	c.registry.StoreRestoredAt = c.targets.RecoveredAt
 }
 
 func (c *Coordinator) wirePeers() {
 	c.calls = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.calls, Logger: c.logger, Status: c.status, Complete: c.complete, Heard: c.heard, Learned: c.learned}
+	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.calls, Logger: c.logger, Status: c.status, AddPayload: c.complete, OnStatus: c.heard, OnMessage: c.learned}
 }
 
 func (c *Coordinator) wireDuties() {
@@ -211,7 +211,7 @@
 
 // spread is how far apart the predictions of two instances may be, by the age of what they know of each other.
 func (c *Coordinator) spread() time.Duration {
-	if c.peers.Large() {
+	if c.peers.UsesHubs() {
 		return spreadLarge
 	}
 	return spreadSmall
@@ -301,7 +301,7 @@
 	}
 	c.logger.Info("configuration in force", zap.Uint64("Version", uint64(cfg.Version)), zap.Uint64("Offset", uint64(r.Offset)),
 		zap.Int("Routes", len(cfg.Routes)), zap.Int("Teams", len(cfg.Teams)))
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 // targetChanged takes a target's entry. One that cannot be read names no target to use.
@@ -310,7 +310,7 @@
 	if len(r.Value) == 0 {
 		c.registry.Remove(id, time.Now())
 		c.logger.Info("target gone", zap.String("Target", r.Key), zap.Uint64("Offset", uint64(r.Offset)))
-		c.peers.Wake()
+		c.peers.SendNow()
 		return
 	}
 	t, err := c.platform.DecodeTarget(r.Key, r.Value)
@@ -325,7 +325,7 @@
 	}
 	c.logger.Info("target", zap.String("Target", r.Key), zap.String("Service", string(t.Service)), zap.String("Zone", string(t.Zone)),
 		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
-	c.peers.Wake()
+	c.peers.SendNow()
 }
 
 func (c *Coordinator) memberChanged(r mirrorer.Record) {
@@ -337,5 +337,5 @@
 		c.logger.Warn("member record not readable", zap.String("Key", r.Key), zap.Error(err))
 		return
 	}
-	c.peers.Know(m)
+	c.peers.AddMember(m)
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -60,11 +60,11 @@
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
 		New:    func() proto.Message { return &gossiper.Beat{} },
-		Answer: func(req proto.Message) proto.Message { return c.peers.Answer(req.(*gossiper.Beat)) },
+		Answer: func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
 		Logger: c.logger,
 	}
 	targets := c.follow(streamTargets, c.platform.Targets, &c.targets, c.readAge)
-	c.targets.Failing = targets.Failing
+	c.targets.FailingFor = targets.FailingFor
 	for _, duty := range []func(context.Context){
 		c.peers.Run, c.contactSeeds, c.register, c.tidy, c.watchSettings,
 		c.follow(streamConfiguration, c.platform.Configuration, &c.config, c.readAge).Run,
@@ -95,7 +95,7 @@
 
 // memberAge is the same for the list of members, which fills in the first seconds and rarely changes later.
 func (c *Coordinator) memberAge() time.Duration {
-	if gossiper.Steady(time.Now()) < gatherTime {
+	if gossiper.Monotonic(time.Now()) < gatherTime {
 		return gatherAge
 	}
 	return memberAge + c.delay()
@@ -103,13 +103,13 @@
 
 func (c *Coordinator) delay() time.Duration {
 	rank := c.rank()
-	most := OldestCopy(c.peers.Large(), rank) - readerAge
+	most := MaximumCopyAge(c.peers.UsesHubs(), rank) - readerAge
 	return min(most, time.Duration(rank)*rankDelay)
 }
 
-// OldestCopy is how old the instance of a rank lets its copies of the configuration and the targets grow by what beats
+// MaximumCopyAge is how old the instance of a rank lets its copies of the configuration and the targets grow by what beats
 // tell. They may be older in truth by the time that an exchange took.
-func OldestCopy(large bool, rank int) time.Duration {
+func MaximumCopyAge(large bool, rank int) time.Duration {
 	if large && rank >= hubReaders {
 		return readerAge + mostDelayLarge
 	}
@@ -288,7 +288,7 @@
 	c.leaving.Store(true)
 	c.logger.Info("leaving", zap.Int64("InFlight", c.inFlight.Load()))
 	yield()
-	c.peers.Wake()
+	c.peers.SendNow()
 	client.SetKeepAlivesEnabled(false)
 	time.Sleep(leaveTime)
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -43,10 +43,10 @@
 	Member  *Member
 	Ready   bool
 	Leaving bool
-	// HeardAt is when its last status was made.
-	HeardAt time.Time
-	// ClockAhead is how much its time of day is ahead of the steady clock here.
-	ClockAhead time.Duration
+	// StatusAt is when its last status was made.
+	StatusAt time.Time
+	// ClockOffset is how much its time of day is ahead of the steady clock here.
+	ClockOffset time.Duration
 }
 
 // Gossiper exchanges beats with its partners; exported fields must be set before Run.
@@ -59,12 +59,12 @@
 	Logger *zap.Logger
 	// Status returns what this instance says of itself.
 	Status func(now time.Time) *Status
-	// Complete adds what goes with the statuses to a beat, by what the peer last said it knows; last is nil for a peer that
+	// AddPayload adds what goes with the statuses to a beat, by what the peer last said it knows; last is nil for a peer that
 	// has not said anything.
-	Complete func(b, last *Beat)
-	// Heard takes a status that is newer than the one before, and Learned what came with a beat.
-	Heard   func(s *Status, now time.Time)
-	Learned func(b *Beat, now time.Time)
+	AddPayload func(b, last *Beat)
+	// OnStatus takes a status that is newer than the one before, and Learned what came with a beat.
+	OnStatus   func(s *Status, now time.Time)
+	OnMessage func(b *Beat, now time.Time)
 
 	mu       sync.Mutex
 	ctx      context.Context
@@ -100,12 +100,12 @@
 	g.group.Wait()
 }
 
-// Know adds a peer that others know, or its new incarnation if the one before is no longer alive: what others know may be
+// AddMember adds a peer that others know, or its new incarnation if the one before is no longer alive: what others know may be
 // older.
-func (g *Gossiper) Know(m *Member) {
+func (g *Gossiper) AddMember(m *Member) {
 	g.mu.Lock()
 	old := g.peers[m.GetID()]
-	alive := old != nil && time.Since(old.HeardAt) <= g.aliveTime()
+	alive := old != nil && time.Since(old.StatusAt) <= g.aliveTime()
 	g.mu.Unlock()
 	if !alive {
 		g.adopt(m)
@@ -149,14 +149,14 @@
 	return nil
 }
 
-// Answer takes a peer's beat and returns the one for it.
-func (g *Gossiper) Answer(b *Beat) *Beat {
+// Handle takes a peer's beat and returns the one for it.
+func (g *Gossiper) Handle(b *Beat) *Beat {
 	p := g.hear(b)
 	return g.compose(p)
 }
 
-// Wake sends the next beats at once.
-func (g *Gossiper) Wake() {
+// SendNow sends the next beats at once.
+func (g *Gossiper) SendNow() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
@@ -174,7 +174,7 @@
 	life := g.aliveTime()
 	list := make([]Peer, 0, len(g.peers))
 	for _, p := range g.peers {
-		if now.Sub(p.HeardAt) <= life {
+		if now.Sub(p.StatusAt) <= life {
 			list = append(list, p.Peer)
 		}
 	}
@@ -189,14 +189,14 @@
 	}
 	now := time.Now()
 	for _, m := range b.Members {
-		g.Know(m)
+		g.AddMember(m)
 	}
 	for _, s := range b.Statuses {
 		if g.update(s, now) {
-			g.Heard(s, now)
+			g.OnStatus(s, now)
 		}
 	}
-	g.Learned(b, now)
+	g.OnMessage(b, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[b.Statuses[0].Member.ID]
@@ -216,7 +216,7 @@
 	g.mu.Lock()
 	p := g.peers[m.ID]
 	// An old status of an incarnation that was replaced must not bring it back.
-	stale := p != nil && p.Member.Incarnation != m.Incarnation && made.Before(p.HeardAt)
+	stale := p != nil && p.Member.Incarnation != m.Incarnation && made.Before(p.StatusAt)
 	g.mu.Unlock()
 	if stale {
 		return false
@@ -228,8 +228,8 @@
 	if p == nil || p.Member.Incarnation != m.Incarnation || p.status != nil && s.Sequence <= p.status.Sequence {
 		return false
 	}
-	p.status, p.Ready, p.Leaving, p.HeardAt = s, s.Ready, s.Leaving, made
-	p.ClockAhead = time.Duration(s.UnixMilliseconds)*time.Millisecond - Steady(made)
+	p.status, p.Ready, p.Leaving, p.StatusAt = s, s.Ready, s.Leaving, made
+	p.ClockOffset = time.Duration(s.UnixMilliseconds)*time.Millisecond - Monotonic(made)
 	return true
 }
 
@@ -255,15 +255,15 @@
 		}
 	}
 	g.mu.Unlock()
-	g.Complete(b, last)
+	g.AddPayload(b, last)
 	return b
 }
 
-// steadyStart is the origin of this process's steady clock.
-var steadyStart = time.Now()
+// monotonicOrigin is the origin of this process's steady clock.
+var monotonicOrigin = time.Now()
 
-// Steady returns the time since the process's steady clock began.
-func Steady(now time.Time) time.Duration { return now.Sub(steadyStart) }
+// Monotonic returns the time since the process's steady clock began.
+func Monotonic(now time.Time) time.Duration { return now.Sub(monotonicOrigin) }
 
 // launch starts the exchanges with a peer; the caller holds the lock.
 func (g *Gossiper) launch(p *peer) {
@@ -306,7 +306,7 @@
 	defer g.mu.Unlock()
 	p.failedAt = now
 	g.hubsAt = time.Time{}
-	if now.Sub(p.HeardAt) > goneTime {
+	if now.Sub(p.StatusAt) > goneTime {
 		return gonePause
 	}
 	return retryPause
