--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -19,8 +19,8 @@
 
 // Errors of a log; any other error leaves open whether the record was or will be appended.
 var (
-	// ErrMoved is returned when the log does not end where the writer thought.
-	ErrMoved = errors.New("log has moved on")
+	// ErrLogAdvanced is returned when the log does not end where the writer thought.
+	ErrLogAdvanced = errors.New("log has moved on")
 	// ErrRefused is returned when nothing was done.
 	ErrRefused = errors.New("store refused the call")
 	// ErrFenced is returned by a receiver that has seen a higher fencing number, or cannot give what was asked for.
@@ -195,7 +195,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fold.Next != from {
-		return nil, fmt.Errorf("%w: while it was read from %d", ErrMoved, from)
+		return nil, fmt.Errorf("%w: while it was read from %d", ErrLogAdvanced, from)
 	}
 	for _, r := range records {
 		e.fold.Apply(r)
@@ -266,7 +266,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.fold.Next != end {
-			return fmt.Errorf("%w: while record %d was appended", ErrMoved, end)
+			return fmt.Errorf("%w: while record %d was appended", ErrLogAdvanced, end)
 		}
 		e.fold.Apply(record)
 		e.seenAt = e.Now()
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -56,7 +56,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if int(end) != len(v.records) {
-		return elector.ErrMoved
+		return elector.ErrLogAdvanced
 	}
 	v.records = append(v.records, record)
 	return nil
@@ -201,7 +201,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if int(end) != len(l.records) {
-		return elector.ErrMoved
+		return elector.ErrLogAdvanced
 	}
 	l.records = append(l.records, record)
 	return nil
