--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -52,7 +52,7 @@
 	for _, o := range c.registry.Orders(now) {
 		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Left).Milliseconds()})
 	}
-	if s, ok := c.elector.Seen(); ok {
+	if s, ok := c.elector.Head(); ok {
 		b.Lease = &gossiper.Lease{Holder: s.Holder, Fence: uint64(s.Fence), Offset: uint64(s.Next), AgeMilliseconds: s.Age.Milliseconds()}
 	}
 	if last != nil {
@@ -147,7 +147,7 @@
 		c.registry.Ordered(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(left))
 	}
 	if l := b.Lease; l != nil {
-		c.elector.Hear(elector.Sighting{
+		c.elector.ReceiveHead(elector.LogHead{
 			Holder: l.Holder, Fence: identifier.Fence(l.Fence), Next: identifier.Offset(l.Offset),
 			Age: time.Duration(l.AgeMilliseconds) * time.Millisecond,
 		})
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -47,8 +47,8 @@
 	sendTimeout = 800 * time.Millisecond
 )
 
-// Sighting is the newest record of the log that an instance knows, and since when.
-type Sighting struct {
+// LogHead is the newest record of the log that an instance knows, and since when.
+type LogHead struct {
 	Holder string
 	Fence  identifier.Fence
 	// Next is the offset after that record.
@@ -120,15 +120,15 @@
 	}
 }
 
-// Seen returns what this instance knows of the log, or false before it has read it.
-func (e *Elector) Seen() (Sighting, bool) {
+// Head returns what this instance knows of the log, or false before it has read it.
+func (e *Elector) Head() (LogHead, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Sighting{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.heard), Age: e.Now() - e.seenAt}, e.read
+	return LogHead{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.heard), Age: e.Now() - e.seenAt}, e.read
 }
 
-// Hear takes what a peer knows of the log, so that contenders need not read it.
-func (e *Elector) Hear(s Sighting) {
+// ReceiveHead takes what a peer knows of the log, so that contenders need not read it.
+func (e *Elector) ReceiveHead(s LogHead) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.Next <= max(e.heard, e.fold.Next) {
