--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -98,8 +98,8 @@
 	return e.fence, nil
 }
 
-// Do runs send under the lease with a time limit that ends before the lease does.
-func (e *Elector) Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
+// WithLease runs send under the lease with a time limit that ends before the lease does.
+func (e *Elector) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	e.mu.Lock()
 	fence, err := e.authority()
 	remaining := e.until - e.Now()
@@ -155,7 +155,7 @@
 	for team, n := range figures {
 		requests[string(team)] = n
 	}
-	return e.Do(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	return e.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		return e.append(ctx, &Duty{Body: &Duty_Close{Close: &Close{Fence: uint64(fence), Window: window, Requests: requests}}})
 	})
 }
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -52,8 +52,8 @@
 	return h.fence, remaining, nil
 }
 
-// Do runs send under the lease, with a time limit that ends before the lease does.
-func (h *Holder) Do(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error {
+// WithLease runs send under the lease, with a time limit that ends before the lease does.
+func (h *Holder) WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error {
 	held, remaining, err := h.Authority()
 	if err != nil {
 		return err
--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -32,7 +32,7 @@
 // Authority runs sends under a lease.
 type Authority interface {
 	Authority() (identifier.Fence, time.Duration, error)
-	Do(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
+	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
 }
 
 // Platform takes target orders.
@@ -179,7 +179,7 @@
 // send checks the lease directly before the order goes out and ends the call before the lease does.
 func (o *Orderer) send(ctx context.Context, fence identifier.Fence, order *recorder.Order) (*recorder.Target, error) {
 	var granted *recorder.Target
-	err := o.Authority.Do(ctx, fence, o.Timeout, func(ctx context.Context) error {
+	err := o.Authority.WithLease(ctx, fence, o.Timeout, func(ctx context.Context) error {
 		if order.Kind == recorder.OrderKind_Assign {
 			return o.sendEngine(ctx, fence, order)
 		}
@@ -237,7 +237,7 @@
 func (o *Orderer) poll(ctx context.Context, fence identifier.Fence, order *recorder.Order, done func(chatter.EngineState) (bool, error)) error {
 	for {
 		var state chatter.EngineState
-		err := o.Authority.Do(ctx, fence, o.Timeout, func(ctx context.Context) error {
+		err := o.Authority.WithLease(ctx, fence, o.Timeout, func(ctx context.Context) error {
 			return o.call(ctx, order, http.MethodGet, "/control/state", nil, &state)
 		})
 		if err != nil {
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -58,7 +58,7 @@
 	return a.fence, time.Hour, nil
 }
 
-func (a *authority) Do(ctx context.Context, _ identifier.Fence, _ time.Duration, send func(context.Context) error) error {
+func (a *authority) WithLease(ctx context.Context, _ identifier.Fence, _ time.Duration, send func(context.Context) error) error {
 	if a.gate != nil {
 		<-a.gate
 	}
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -46,7 +46,7 @@
 // Duty is the lease under which orders are sent.
 type Duty interface {
 	Authority() (identifier.Fence, error)
-	Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
+	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 }
 
 const (
@@ -209,7 +209,7 @@
 		return
 	}
 	var sent Order
-	err := k.Duty.Do(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := k.Duty.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		expected, err := k.Commander.Accepted(ctx, t)
 		if err != nil {
 			return err
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -191,7 +191,7 @@
 	if ordered && last.count == want && time.Now().Before(last.until) {
 		return false
 	}
-	err := s.Duty.Do(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := s.Duty.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		return s.Platform.OrderTargets(ctx, fence, Supply{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
 	})
 	if s.sent == nil {
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -30,7 +30,7 @@
 
 func (held) Authority() (identifier.Fence, error) { return 7, nil }
 
-func (held) Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
+func (held) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	return send(ctx, 7)
 }
 
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -20,7 +20,7 @@
 
 // Authority runs sends under a lease.
 type Authority interface {
-	Do(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
+	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
 }
 
 // Platform takes usage reports.
@@ -65,7 +65,7 @@
 func (p *Reporter) reportOne(ctx context.Context, fence identifier.Fence, w *recorder.Window) error {
 	p.assertSame(w)
 	report := provider.Report{Window: w.Number, Sender: p.Sender, Fence: fence, Teams: figures(w)}
-	err := p.Authority.Do(ctx, fence, p.Timeout, func(ctx context.Context) error {
+	err := p.Authority.WithLease(ctx, fence, p.Timeout, func(ctx context.Context) error {
 		return p.Platform.SendReport(ctx, report)
 	})
 	if err != nil {
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -24,7 +24,7 @@
 // Closer fixes figures under the lease.
 type Closer interface {
 	Authority() (identifier.Fence, error)
-	Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
+	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 	Close(ctx context.Context, window int64, figures elector.Figures) error
 	Closed() map[int64]elector.Figures
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	var fence identifier.Fence
-	err := r.Duty.Do(ctx, func(ctx context.Context, f identifier.Fence) error {
+	err := r.Duty.WithLease(ctx, func(ctx context.Context, f identifier.Fence) error {
 		fence = f
 		return r.Platform.ReportUsage(ctx, f, window, figures)
 	})
--- a/internal/reporter/windows_test.go
+++ b/internal/reporter/windows_test.go
@@ -28,7 +28,7 @@
 	return d.fence, nil
 }
 
-func (d *duty) Do(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
+func (d *duty) WithLease(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
 	if d.fence == 0 {
 		return elector.ErrNotHolder
 	}
