--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -96,7 +96,7 @@
 
 // announceOrders notes this instance's own orders and tells the peers.
 func (c *Coordinator) announceOrders() {
-	for _, p := range c.keeper.Pending() {
+	for _, p := range c.keeper.PendingOrders() {
 		c.registry.Ordered(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
 	c.peers.Wake()
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -167,21 +167,21 @@
 	group.Wait()
 }
 
-// Pending is an order that was sent lately.
-type Pending struct {
+// PendingOrder is an order that was sent lately.
+type PendingOrder struct {
 	Target identifier.TargetID
 	Stage  registrar.Stage
 	Age    time.Duration
 }
 
-// Pending returns the orders that the targets' entries may not show yet.
-func (k *Keeper) Pending() []Pending {
+// PendingOrders returns the orders that the targets' entries may not show yet.
+func (k *Keeper) PendingOrders() []PendingOrder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []Pending
+	var list []PendingOrder
 	for id, p := range k.ordered {
 		if age := time.Since(p.at); age < SettleTime {
-			list = append(list, Pending{Target: id, Stage: p.stage, Age: age})
+			list = append(list, PendingOrder{Target: id, Stage: p.stage, Age: age})
 		}
 	}
 	return list
