--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -99,8 +99,8 @@
 	peers    *gossiper.Gossiper
 	calls    *exchanger.Client
 	elector  *elector.Elector
-	keeper   *orderkeeper.Keeper
-	supplier *orderkeeper.Supplier
+	keeper   *orderkeeper.StageController
+	supplier *orderkeeper.Scaler
 	windows  *reporter.Windows
 	forward  *forwarder.Forwarder
 
@@ -159,12 +159,12 @@
 		Holder: c.self.ID + "/" + c.self.Incarnation, Log: c.platform.Duties, Lease: bounds.Lease, Logger: c.logger,
 		Now: bootTime, Eligible: c.eligible,
 	}
-	c.supplier = &orderkeeper.Supplier{
+	c.supplier = &orderkeeper.Scaler{
 		Duty: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.Staying, Serving: c.registry.Of, Load: c.demand.Peak, Logger: c.logger,
 	}
-	c.keeper = &orderkeeper.Keeper{
-		Holder: c.self.ID, Duty: c.elector, Commander: c.platform.Commander, Shrinking: c.supplier.Shrinking,
+	c.keeper = &orderkeeper.StageController{
+		Holder: c.self.ID, Duty: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.Staying, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windows = &reporter.Windows{
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -20,8 +20,8 @@
 // ErrRejected is returned when an order was not accepted.
 var ErrRejected = errors.New("order rejected")
 
-// Order is a stage order to a target.
-type Order struct {
+// StageOrder is a stage order to a target.
+type StageOrder struct {
 	Stage  registrar.Stage
 	Holder string
 	Fence  identifier.Fence
@@ -29,8 +29,8 @@
 	Expected uint64
 }
 
-// Supply is an order for targets of a service in an availability zone.
-type Supply struct {
+// ScaleOrder is an order for targets of a service in an availability zone.
+type ScaleOrder struct {
 	Service identifier.ServiceID
 	Zone    identifier.ZoneID
 	Count   int
@@ -40,7 +40,7 @@
 // Commander orders targets.
 type Commander interface {
 	Accepted(ctx context.Context, t *registrar.Target) (uint64, error)
-	Order(ctx context.Context, t *registrar.Target, o Order) error
+	Order(ctx context.Context, t *registrar.Target, o StageOrder) error
 }
 
 // Duty is the lease under which orders are sent.
@@ -61,15 +61,15 @@
 	quietTime = 700 * time.Millisecond
 )
 
-// Keeper keeps the stages of all model targets; exported fields must be set.
-type Keeper struct {
+// StageController keeps the stages of all model targets; exported fields must be set.
+type StageController struct {
 	Holder    string
 	Duty      Duty
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// Shrinking tells that targets of a service are being given back: one that answers may be among them.
-	Shrinking func(service identifier.ServiceID) bool
+	// ScalingDown tells that targets of a service are being given back: one that answers may be among them.
+	ScalingDown func(service identifier.ServiceID) bool
 	// Announce tells the other instances of Pending at once.
 	Announce func()
 	Logger   *zap.Logger
@@ -104,7 +104,7 @@
 }
 
 // Run orders stages while the lease is held, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *StageController) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, stepPause) == nil {
 		fence, err := k.Duty.Authority()
 		if err != nil || fence == k.fenced {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (k *Keeper) arrangeAll(ctx context.Context, table *matcher.Table) {
+func (k *StageController) arrangeAll(ctx context.Context, table *matcher.Table) {
 	count := 0
 	for i := range table.Services {
 		if table.Services[i].Engine != nil {
@@ -138,7 +138,7 @@
 }
 
 // arrange orders the stages of one service's targets.
-func (k *Keeper) arrange(ctx context.Context, s *matcher.Service) {
+func (k *StageController) arrange(ctx context.Context, s *matcher.Service) {
 	targets := k.Targets(s.ID)
 	byID := map[identifier.TargetID]*registrar.Target{}
 	var engines []placer.StageEngine
@@ -156,7 +156,7 @@
 	}
 	placer.SortEngines(engines)
 	wanted := placer.Answerers(len(engines))
-	if k.Shrinking(s.ID) {
+	if k.ScalingDown(s.ID) {
 		wanted = max(wanted, min(2, len(engines)-1))
 	}
 	changes := placer.Split(engines, wanted)
@@ -175,7 +175,7 @@
 }
 
 // PendingOrders returns the orders that the targets' entries may not show yet.
-func (k *Keeper) PendingOrders() []PendingOrder {
+func (k *StageController) PendingOrders() []PendingOrder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var list []PendingOrder
@@ -188,14 +188,14 @@
 }
 
 // settling returns a target's order if it was sent lately.
-func (k *Keeper) settling(id identifier.TargetID) (pending, bool) {
+func (k *StageController) settling(id identifier.TargetID) (pending, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p, ok := k.ordered[id]
 	return p, ok && time.Since(p.at) < SettleTime
 }
 
-func (k *Keeper) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
+func (k *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
 	k.mu.Lock()
 	if k.ordered == nil {
 		k.ordered = map[identifier.TargetID]pending{}
@@ -208,7 +208,7 @@
 	if sleeper.Sleep(ctx, announceTime) != nil {
 		return
 	}
-	var sent Order
+	var sent StageOrder
 	err := k.Duty.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		expected, err := k.Commander.Accepted(ctx, t)
 		if err != nil {
@@ -217,7 +217,7 @@
 		if held, err := k.Duty.Authority(); err != nil || held != fence {
 			return elector.ErrNotHolder
 		}
-		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
+		sent = StageOrder{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
 		return k.Commander.Order(ctx, t, sent)
 	})
 	k.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -16,7 +16,7 @@
 
 // TargetPlatform takes orders for targets.
 type TargetPlatform interface {
-	OrderTargets(ctx context.Context, fence identifier.Fence, o Supply) error
+	OrderTargets(ctx context.Context, fence identifier.Fence, o ScaleOrder) error
 }
 
 const (
@@ -28,8 +28,8 @@
 	refusedPause = 2 * time.Second
 )
 
-// Supplier keeps the numbers of targets of all services that can be ordered; exported fields must be set.
-type Supplier struct {
+// Scaler keeps the numbers of targets of all services that can be ordered; exported fields must be set.
+type Scaler struct {
 	Duty     Duty
 	Platform TargetPlatform
 	Table    func() *matcher.Table
@@ -63,7 +63,7 @@
 }
 
 // Run orders targets while the lease is held, until ctx ends.
-func (s *Supplier) Run(ctx context.Context) {
+func (s *Scaler) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, supplyPause) == nil {
 		if _, err := s.Duty.Authority(); err != nil {
 			s.sent, s.leaving, s.arrival = nil, nil, arrival{}
@@ -82,7 +82,7 @@
 }
 
 // supply orders what one service lacks, or has too many of.
-func (s *Supplier) supply(ctx context.Context, service *matcher.Service) {
+func (s *Scaler) supply(ctx context.Context, service *matcher.Service) {
 	targets := s.Targets(service.ID)
 	settled := s.arrival.done(len(targets), time.Now())
 	fleet := map[identifier.ZoneID]placer.ZoneFleet{}
@@ -126,7 +126,7 @@
 
 // change orders more at once. It gives back in one zone at a time, so that targets for answers stay: the platform chooses
 // which targets leave, and others take a change of stage to replace them.
-func (s *Supplier) change(ctx context.Context, service *matcher.Service, l lot, have, want int) {
+func (s *Scaler) change(ctx context.Context, service *matcher.Service, l lot, have, want int) {
 	if want < have {
 		if len(s.leaving) > 0 {
 			return
@@ -148,14 +148,14 @@
 	}
 }
 
-// Shrinking tells that targets of a service are being given back.
-func (s *Supplier) Shrinking(service identifier.ServiceID) bool {
+// ScalingDown tells that targets of a service are being given back.
+func (s *Scaler) ScalingDown(service identifier.ServiceID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shrinking[service]
 }
 
-func (s *Supplier) setShrinking(service identifier.ServiceID, shrinking bool) {
+func (s *Scaler) setShrinking(service identifier.ServiceID, shrinking bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.shrinking == nil {
@@ -172,7 +172,7 @@
 }
 
 // answering counts the targets that take answers in each zone.
-func (s *Supplier) answering(service identifier.ServiceID) map[identifier.ZoneID]int {
+func (s *Scaler) answering(service identifier.ServiceID) map[identifier.ZoneID]int {
 	zones := map[identifier.ZoneID]int{}
 	for _, t := range s.Serving(service, time.Now()) {
 		if t.Stage == registrar.Answers {
@@ -183,7 +183,7 @@
 }
 
 // order sends an order unless the same one stands and may still be on its way, and reports whether it was accepted.
-func (s *Supplier) order(ctx context.Context, service *matcher.Service, l lot, have, want int) bool {
+func (s *Scaler) order(ctx context.Context, service *matcher.Service, l lot, have, want int) bool {
 	last, ordered := s.sent[l]
 	if have == want && (!ordered || last.count == want) {
 		return false
@@ -192,7 +192,7 @@
 		return false
 	}
 	err := s.Duty.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
-		return s.Platform.OrderTargets(ctx, fence, Supply{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
+		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
 	})
 	if s.sent == nil {
 		s.sent = map[lot]standing{}
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.Supply) error {
+func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.ScaleOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var lot []*registrar.Target
@@ -83,7 +83,7 @@
 
 func (f *fleet) Accepted(context.Context, *registrar.Target) (uint64, error) { return 0, nil }
 
-func (f *fleet) Order(_ context.Context, t *registrar.Target, o orderkeeper.Order) error {
+func (f *fleet) Order(_ context.Context, t *registrar.Target, o orderkeeper.StageOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changed[t.ID] = time.Now()
@@ -146,9 +146,9 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			supplier := &orderkeeper.Supplier{Duty: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
-			keeper := &orderkeeper.Keeper{
-				Holder: "h", Duty: held{}, Commander: f, Table: getTable, Targets: f.list, Shrinking: supplier.Shrinking, Announce: func() {}, Logger: zap.NewNop(),
+			supplier := &orderkeeper.Scaler{Duty: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
+			keeper := &orderkeeper.StageController{
+				Holder: "h", Duty: held{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: supplier.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
