--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -160,11 +160,11 @@
 		Now: bootTime, Eligible: c.eligible,
 	}
 	c.supplier = &orderkeeper.Scaler{
-		Duty: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
+		Lease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.Staying, Serving: c.registry.Of, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.keeper = &orderkeeper.StageController{
-		Holder: c.self.ID, Duty: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
+		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.Staying, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windows = &reporter.Windows{
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -30,7 +30,7 @@
 
 // Scaler keeps the numbers of targets of all services that can be ordered; exported fields must be set.
 type Scaler struct {
-	Duty     Duty
+	Lease     Lease
 	Platform TargetPlatform
 	Table    func() *matcher.Table
 	Targets  func(service identifier.ServiceID) []*registrar.Target
@@ -65,7 +65,7 @@
 // Run orders targets while the lease is held, until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, supplyPause) == nil {
-		if _, err := s.Duty.Authority(); err != nil {
+		if _, err := s.Lease.Authority(); err != nil {
 			s.sent, s.leaving, s.arrival = nil, nil, arrival{}
 			continue
 		}
@@ -191,7 +191,7 @@
 	if ordered && last.count == want && time.Now().Before(last.until) {
 		return false
 	}
-	err := s.Duty.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := s.Lease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
 	})
 	if s.sent == nil {
