--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -101,7 +101,7 @@
 	elector  *elector.Elector
 	keeper   *orderkeeper.StageController
 	supplier *orderkeeper.Scaler
-	windows  *reporter.Windows
+	windows  *reporter.WindowReporter
 	forward  *forwarder.Forwarder
 
 	// Bodies bounds the memory that clients' bodies take.
@@ -167,8 +167,8 @@
 		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.Staying, Announce: c.announceOrders, Logger: c.logger,
 	}
-	c.windows = &reporter.Windows{
-		Duty: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, Late: bounds.UsageLate,
+	c.windows = &reporter.WindowReporter{
+		Closer: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.trueTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -21,8 +21,8 @@
 	reportedKept = 32
 )
 
-// Closer fixes figures under the lease.
-type Closer interface {
+// WindowCloser fixes figures under the lease.
+type WindowCloser interface {
 	Authority() (identifier.Fence, error)
 	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 	Close(ctx context.Context, window int64, figures elector.Figures) error
@@ -34,13 +34,13 @@
 	ReportUsage(ctx context.Context, fence identifier.Fence, window int64, figures elector.Figures) error
 }
 
-// Windows closes usage windows in the log and reports what the log says; exported fields must be set.
-type Windows struct {
-	Duty     Closer
+// WindowReporter closes usage windows in the log and reports what the log says; exported fields must be set.
+type WindowReporter struct {
+	Closer     WindowCloser
 	Platform UsagePlatform
 	Length   time.Duration
-	// Late is how long after its end a window may still be reported.
-	Late time.Duration
+	// MaximumDelay is how long after its end a window may still be reported.
+	MaximumDelay time.Duration
 	// Now is the true time.
 	Now    func() time.Time
 	Total  func(window int64) map[identifier.TeamID]uint64
@@ -51,11 +51,11 @@
 }
 
 // Run closes and reports windows while the lease is held, until ctx ends.
-func (r *Windows) Run(ctx context.Context) {
+func (r *WindowReporter) Run(ctx context.Context) {
 	r.reported = map[int64]bool{}
 	for sleeper.Sleep(ctx, windowPause) == nil {
 		// A number that was refused once is not used again.
-		if fence, err := r.Duty.Authority(); err != nil || fence == r.fenced {
+		if fence, err := r.Closer.Authority(); err != nil || fence == r.fenced {
 			clear(r.reported)
 			continue
 		}
@@ -63,10 +63,10 @@
 	}
 }
 
-func (r *Windows) step(ctx context.Context) {
+func (r *WindowReporter) step(ctx context.Context) {
 	now := r.Now()
 	newest := now.Add(-gatherTime).UnixMilli()/r.Length.Milliseconds() - 1
-	oldest := now.Add(-r.Late).UnixMilli() / r.Length.Milliseconds()
+	oldest := now.Add(-r.MaximumDelay).UnixMilli() / r.Length.Milliseconds()
 	for w := oldest; w <= newest; w++ {
 		if !r.reported[w] {
 			r.report(ctx, w)
@@ -79,23 +79,23 @@
 	}
 }
 
-func (r *Windows) report(ctx context.Context, window int64) {
-	figures, closed := r.Duty.Closed()[window]
+func (r *WindowReporter) report(ctx context.Context, window int64) {
+	figures, closed := r.Closer.Closed()[window]
 	if !closed {
 		total := r.Total(window)
 		if len(total) == 0 {
 			return
 		}
-		if err := r.Duty.Close(ctx, window, total); err != nil {
+		if err := r.Closer.Close(ctx, window, total); err != nil {
 			r.Logger.Info("window not closed", zap.Int64("Window", window), zap.Error(err))
 			return
 		}
-		if figures, closed = r.Duty.Closed()[window]; !closed {
+		if figures, closed = r.Closer.Closed()[window]; !closed {
 			return
 		}
 	}
 	var fence identifier.Fence
-	err := r.Duty.WithLease(ctx, func(ctx context.Context, f identifier.Fence) error {
+	err := r.Closer.WithLease(ctx, func(ctx context.Context, f identifier.Fence) error {
 		fence = f
 		return r.Platform.ReportUsage(ctx, f, window, figures)
 	})
