--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -140,7 +140,7 @@
 		c.book.Learn(chooser.Sent{Target: identifier.TargetID(p.Target), Part: part}, now)
 	}
 	for _, n := range b.Counts {
-		c.counts.Merge(counter.Cell{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
+		c.counts.Merge(counter.Count{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
 	}
 	for _, o := range b.Orders {
 		left := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -172,7 +172,7 @@
 		c.book.Retain(c.registry.Targets(), time.Now())
 		c.demand.Sample(time.Now())
 		c.gauge(time.Now())
-		c.counts.Forget(c.trueTime().UnixMilli() / c.bounds.UsageWindow.Milliseconds())
+		c.counts.Prune(c.trueTime().UnixMilli() / c.bounds.UsageWindow.Milliseconds())
 	}
 }
 
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -7,8 +7,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Cell is one count of one incarnation of an entry instance.
-type Cell struct {
+// Count is one count of one incarnation of an entry instance.
+type Count struct {
 	Incarnation string
 	Window      int64
 	Team        identifier.TeamID
@@ -50,7 +50,7 @@
 }
 
 // Merge takes a cell of a peer.
-func (c *Counter) Merge(cell Cell) {
+func (c *Counter) Merge(cell Count) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := key{cell.Incarnation, cell.Window, cell.Team}
@@ -72,20 +72,20 @@
 }
 
 // ChangedSince returns the cells that changed from a number on, each once, and the number to go on with.
-func (c *Counter) ChangedSince(from uint64) ([]Cell, uint64) {
+func (c *Counter) ChangedSince(from uint64) ([]Count, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first := c.next - uint64(len(c.changes))
 	from = min(max(from, first), c.next)
 	seen := map[key]bool{}
-	var cells []Cell
+	var cells []Count
 	for _, k := range c.changes[from-first:] {
 		n, kept := c.cells[k]
 		if seen[k] || !kept {
 			continue
 		}
 		seen[k] = true
-		cells = append(cells, Cell{Incarnation: k.incarnation, Window: k.window, Team: k.team, Requests: n})
+		cells = append(cells, Count{Incarnation: k.incarnation, Window: k.window, Team: k.team, Requests: n})
 	}
 	return cells, c.next
 }
@@ -103,8 +103,8 @@
 	return total
 }
 
-// Forget drops windows that lie far before the given one.
-func (c *Counter) Forget(window int64) {
+// Prune drops windows that lie far before the given one.
+func (c *Counter) Prune(window int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.cells {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -14,7 +14,7 @@
 func TestCopiesComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var total counter.Counter
-		var cells []counter.Cell
+		var cells []counter.Count
 		want := map[identifier.TeamID]uint64{}
 		for _, incarnation := range []string{"a", "b", "c"} {
 			var own counter.Counter
@@ -24,7 +24,7 @@
 				own.Add(incarnation, 1, team)
 				want[team]++
 				if rapid.Bool().Draw(t, "beat") {
-					var changed []counter.Cell
+					var changed []counter.Count
 					changed, next = own.ChangedSince(next)
 					cells = append(cells, changed...)
 				}
@@ -48,7 +48,7 @@
 	var c counter.Counter
 	c.Add("a", 1, "x")
 	c.Add("a", 9, "x")
-	c.Forget(9)
+	c.Prune(9)
 	quicktest.Assert(t, c.Total(1), quicktest.HasLen, 0)
 	quicktest.Assert(t, c.Total(9)["x"], quicktest.Equals, uint64(1))
 }
