--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -23,11 +23,11 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrVoid is returned when the log did not accept an intent, because the lease was lost or the target has an open order.
-var ErrVoid = errors.New("intent is void")
+// ErrIntentVoid is returned when the log did not accept an intent, because the lease was lost or the target has an open order.
+var ErrIntentVoid = errors.New("intent is void")
 
-// ErrTarget is returned when a target did not carry out an order.
-var ErrTarget = errors.New("target refused the order")
+// ErrTargetRefused is returned when a target did not carry out an order.
+var ErrTargetRefused = errors.New("target refused the order")
 
 // Authority runs sends under a lease.
 type Authority interface {
@@ -61,8 +61,8 @@
 	Logger      *zap.Logger
 }
 
-// Raise tells every target that checks fencing numbers of the current one, so that older orders have no effect.
-func (o *Orderer) Raise(ctx context.Context, fence identifier.Fence, targets []identifier.TargetID) error {
+// RaiseFence tells every target that checks fencing numbers of the current one, so that older orders have no effect.
+func (o *Orderer) RaiseFence(ctx context.Context, fence identifier.Fence, targets []identifier.TargetID) error {
 	var failed error
 	for _, id := range targets {
 		if _, err := o.send(ctx, fence, &recorder.Order{Target: string(id)}); err != nil {
@@ -72,8 +72,8 @@
 	return failed
 }
 
-// Open returns the orders whose outcome is not recorded, those of earlier holders among them.
-func (o *Orderer) Open() []*recorder.Order {
+// OpenOrders returns the orders whose outcome is not recorded, those of earlier holders among them.
+func (o *Orderer) OpenOrders() []*recorder.Order {
 	var open []*recorder.Order
 	o.Control.Query(func() {
 		for _, order := range o.Fold.Orders() {
@@ -110,7 +110,7 @@
 	var accepted *recorder.Order
 	o.Control.Query(func() { accepted = o.Fold.Order(order.ID) })
 	if accepted == nil {
-		return fmt.Errorf("%w: %s to %s", ErrVoid, order.Kind, order.Target)
+		return fmt.Errorf("%w: %s to %s", ErrIntentVoid, order.Kind, order.Target)
 	}
 	o.assertOnlyOpen(accepted)
 	o.Logger.Info("Order",
@@ -137,7 +137,7 @@
 	outcome := &recorder.Outcome{Scope: o.Scope, Fence: uint64(fence), OrderID: order.ID, Status: recorder.OrderStatus_Done}
 	granted, err := o.carryOut(ctx, fence, order)
 	switch {
-	case errors.Is(err, ErrTarget) || errors.Is(err, provider.ErrRefused):
+	case errors.Is(err, ErrTargetRefused) || errors.Is(err, provider.ErrRefused):
 		outcome.Status = recorder.OrderStatus_Failed
 	case err != nil:
 		return err
@@ -256,7 +256,7 @@
 func (o *Orderer) call(ctx context.Context, order *recorder.Order, method, path string, in, out any) error {
 	address, ok := o.Address(identifier.TargetID(order.Target))
 	if !ok {
-		return fmt.Errorf("%w: %s is not in the inventory", ErrTarget, order.Target)
+		return fmt.Errorf("%w: %s is not in the inventory", ErrTargetRefused, order.Target)
 	}
 	var body io.Reader
 	if in != nil {
@@ -280,7 +280,7 @@
 		return err
 	}
 	if resp.StatusCode == http.StatusConflict {
-		return fmt.Errorf("%w: %s", ErrTarget, bytes.TrimSpace(data))
+		return fmt.Errorf("%w: %s", ErrTargetRefused, bytes.TrimSpace(data))
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("order to %s: status %d", order.Target, resp.StatusCode)
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -120,14 +120,14 @@
 	second := f.orderer(t, &authority{fence: 3})
 	err = second.Control.WaitFor(context.Background(), func() bool { return second.Fold.Lease("Fleet").Fence == 3 })
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, second.Raise(context.Background(), 3, []identifier.TargetID{"t"}), quicktest.IsNil)
+	quicktest.Check(t, second.RaiseFence(context.Background(), 3, []identifier.TargetID{"t"}), quicktest.IsNil)
 	if inherit {
-		for _, order := range second.Open() {
+		for _, order := range second.OpenOrders() {
 			quicktest.Check(t, second.Resume(context.Background(), order), quicktest.IsNil)
 		}
 	}
 	err = second.Order(context.Background(), assign(recorder.Role_Decode, declaredChecks))
-	quicktest.Check(t, err == nil || errors.Is(err, orderer.ErrVoid), quicktest.IsTrue, quicktest.Commentf("%v", err))
+	quicktest.Check(t, err == nil || errors.Is(err, orderer.ErrIntentVoid), quicktest.IsTrue, quicktest.Commentf("%v", err))
 	close(paused.gate)
 	<-done
 	return f.engine.Verdict()
@@ -165,7 +165,7 @@
 	quicktest.Check(t, o.Order(context.Background(), assign(recorder.Role_Decode, true)), quicktest.IsNil)
 	quicktest.Check(t, time.Now().After(<-finished), quicktest.IsTrue)
 	quicktest.Check(t, f.engine.Verdict().Cut, quicktest.Equals, 0)
-	quicktest.Check(t, o.Open(), quicktest.HasLen, 0)
+	quicktest.Check(t, o.OpenOrders(), quicktest.HasLen, 0)
 }
 
 // forgetful is a platform whose first answers are lost although the orders take effect.
@@ -204,9 +204,9 @@
 	second.Platform = platform
 	err := second.Control.WaitFor(context.Background(), func() bool { return len(second.Fold.Orders()) == 1 && second.Fold.Lease("Fleet").Fence == 3 })
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, second.Resume(context.Background(), second.Open()[0]), quicktest.ErrorIs, provider.ErrUnavailable)
-	quicktest.Check(t, second.Resume(context.Background(), second.Open()[0]), quicktest.IsNil)
-	quicktest.Check(t, second.Open(), quicktest.HasLen, 0)
+	quicktest.Check(t, second.Resume(context.Background(), second.OpenOrders()[0]), quicktest.ErrorIs, provider.ErrUnavailable)
+	quicktest.Check(t, second.Resume(context.Background(), second.OpenOrders()[0]), quicktest.IsNil)
+	quicktest.Check(t, second.OpenOrders(), quicktest.HasLen, 0)
 	quicktest.Check(t, second.Fold.Acquired(), quicktest.HasLen, 1)
 	quicktest.Check(t, platform.ids, quicktest.HasLen, 1)
 	quicktest.Check(t, platform.platform.Pool, quicktest.HasLen, 1)
--- a/internal/runner/duties.go
+++ b/internal/runner/duties.go
@@ -21,12 +21,12 @@
 			return
 		}
 		if raised != fence {
-			if err := e.orderer.Raise(ctx, fence, e.checkingTargets()); err != nil {
+			if err := e.orderer.RaiseFence(ctx, fence, e.checkingTargets()); err != nil {
 				e.logger.Info("fence not raised everywhere", zap.Error(err))
 			}
 			raised = fence
 		}
-		for _, order := range e.orderer.Open() {
+		for _, order := range e.orderer.OpenOrders() {
 			e.startOrder(order, func() error { return e.orderer.Resume(ctx, order) })
 		}
 		e.place(ctx)
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -147,7 +147,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, id)
-	if errors.Is(err, orderer.ErrTarget) || errors.Is(err, provider.ErrRefused) {
+	if errors.Is(err, orderer.ErrTargetRefused) || errors.Is(err, provider.ErrRefused) {
 		if p.failed == nil {
 			p.failed = map[identifier.TargetID]time.Time{}
 		}
