--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -64,7 +64,7 @@
 // StageController keeps the stages of all model targets; exported fields must be set.
 type StageController struct {
 	Holder    string
-	Lease      Lease
+	Lease     Lease
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -30,7 +30,7 @@
 
 // Scaler keeps the numbers of targets of all services that can be ordered; exported fields must be set.
 type Scaler struct {
-	Lease     Lease
+	Lease    Lease
 	Platform TargetPlatform
 	Table    func() *matcher.Table
 	Targets  func(service identifier.ServiceID) []*registrar.Target
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -36,7 +36,7 @@
 
 // WindowReporter closes usage windows in the log and reports what the log says; exported fields must be set.
 type WindowReporter struct {
-	Closer     WindowCloser
+	Closer   WindowCloser
 	Platform UsagePlatform
 	Length   time.Duration
 	// MaximumDelay is how long after its end a window may still be reported.
