--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -168,7 +168,7 @@
 		Table: c.table.Load, Targets: c.registry.Staying, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windows = &reporter.WindowReporter{
-		Closer: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
+		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.trueTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -20,8 +20,8 @@
 // ErrRejected is returned when an order was not accepted.
 var ErrRejected = errors.New("order rejected")
 
-// StageOrder is a stage order to a target.
-type StageOrder struct {
+// Order is a stage order to a target.
+type Order struct {
 	Stage  registrar.Stage
 	Holder string
 	Fence  identifier.Fence
@@ -40,7 +40,7 @@
 // Commander orders targets.
 type Commander interface {
 	Accepted(ctx context.Context, t *registrar.Target) (uint64, error)
-	Order(ctx context.Context, t *registrar.Target, o StageOrder) error
+	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
 
 // Lease is the lease under which orders are sent.
@@ -208,7 +208,7 @@
 	if sleeper.Sleep(ctx, announceTime) != nil {
 		return
 	}
-	var sent StageOrder
+	var sent Order
 	err := k.Lease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		expected, err := k.Commander.Accepted(ctx, t)
 		if err != nil {
@@ -217,7 +217,7 @@
 		if held, err := k.Lease.Authority(); err != nil || held != fence {
 			return elector.ErrNotHolder
 		}
-		sent = StageOrder{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
+		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
 		return k.Commander.Order(ctx, t, sent)
 	})
 	k.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -83,7 +83,7 @@
 
 func (f *fleet) Accepted(context.Context, *registrar.Target) (uint64, error) { return 0, nil }
 
-func (f *fleet) Order(_ context.Context, t *registrar.Target, o orderkeeper.StageOrder) error {
+func (f *fleet) Order(_ context.Context, t *registrar.Target, o orderkeeper.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changed[t.ID] = time.Now()
