--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -52,7 +52,7 @@
 	for _, o := range c.registry.PendingOrders(now) {
 		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Remaining).Milliseconds()})
 	}
-	if s, ok := c.elector.Seen(); ok {
+	if s, ok := c.elector.Head(); ok {
 		b.Lease = &gossiper.Lease{Holder: s.Holder, Fence: uint64(s.Fence), Offset: uint64(s.Next), AgeMilliseconds: s.Age.Milliseconds()}
 	}
 	if last != nil {
@@ -96,7 +96,7 @@
 
 // announceOrders notes this instance's own orders and tells the peers.
 func (c *Coordinator) announceOrders() {
-	for _, p := range c.keeper.Pending() {
+	for _, p := range c.keeper.PendingOrders() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
 	c.peers.SendNow()
@@ -140,14 +140,14 @@
 		c.book.AddReported(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
 	}
 	for _, n := range b.Counts {
-		c.counts.Merge(counter.Cell{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
+		c.counts.Merge(counter.Count{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
 	}
 	for _, o := range b.Orders {
 		left := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
 		c.registry.RecordOrder(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(left))
 	}
 	if l := b.Lease; l != nil {
-		c.elector.Hear(elector.Sighting{
+		c.elector.ReceiveHead(elector.LogHead{
 			Holder: l.Holder, Fence: identifier.Fence(l.Fence), Next: identifier.Offset(l.Offset),
 			Age: time.Duration(l.AgeMilliseconds) * time.Millisecond,
 		})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -99,9 +99,9 @@
 	peers    *gossiper.Gossiper
 	calls    *exchanger.Client
 	elector  *elector.Elector
-	keeper   *orderkeeper.Keeper
-	supplier *orderkeeper.Supplier
-	windows  *reporter.Windows
+	keeper   *orderkeeper.StageController
+	supplier *orderkeeper.Scaler
+	windows  *reporter.WindowReporter
 	forward  *forwarder.Forwarder
 
 	// Bodies bounds the memory that clients' bodies take.
@@ -159,16 +159,16 @@
 		Holder: c.self.ID + "/" + c.self.Incarnation, Log: c.platform.Duties, Lease: bounds.Lease, Logger: c.logger,
 		Now: bootTime, Eligible: c.eligible,
 	}
-	c.supplier = &orderkeeper.Supplier{
-		Duty: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
+	c.supplier = &orderkeeper.Scaler{
+		Lease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
-	c.keeper = &orderkeeper.Keeper{
-		Holder: c.self.ID, Duty: c.elector, Commander: c.platform.Commander, Shrinking: c.supplier.Shrinking,
+	c.keeper = &orderkeeper.StageController{
+		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
-	c.windows = &reporter.Windows{
-		Duty: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, Late: bounds.UsageLate,
+	c.windows = &reporter.WindowReporter{
+		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.trueTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -19,8 +19,8 @@
 
 // Errors of a log; any other error leaves open whether the record was or will be appended.
 var (
-	// ErrMoved is returned when the log does not end where the writer thought.
-	ErrMoved = errors.New("log has moved on")
+	// ErrLogAdvanced is returned when the log does not end where the writer thought.
+	ErrLogAdvanced = errors.New("log has moved on")
 	// ErrRefused is returned when nothing was done.
 	ErrRefused = errors.New("store refused the call")
 	// ErrFenced is returned by a receiver that has seen a higher fencing number, or cannot give what was asked for.
@@ -47,8 +47,8 @@
 	sendTimeout = 800 * time.Millisecond
 )
 
-// Sighting is the newest record of the log that an instance knows, and since when.
-type Sighting struct {
+// LogHead is the newest record of the log that an instance knows, and since when.
+type LogHead struct {
 	Holder string
 	Fence  identifier.Fence
 	// Next is the offset after that record.
@@ -98,8 +98,8 @@
 	return e.fence, nil
 }
 
-// Do runs send under the lease with a time limit that ends before the lease does.
-func (e *Elector) Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
+// WithLease runs send under the lease with a time limit that ends before the lease does.
+func (e *Elector) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	e.mu.Lock()
 	fence, err := e.authority()
 	remaining := e.until - e.Now()
@@ -120,15 +120,15 @@
 	}
 }
 
-// Seen returns what this instance knows of the log, or false before it has read it.
-func (e *Elector) Seen() (Sighting, bool) {
+// Head returns what this instance knows of the log, or false before it has read it.
+func (e *Elector) Head() (LogHead, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Sighting{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.heard), Age: e.Now() - e.seenAt}, e.read
+	return LogHead{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.heard), Age: e.Now() - e.seenAt}, e.read
 }
 
-// Hear takes what a peer knows of the log, so that contenders need not read it.
-func (e *Elector) Hear(s Sighting) {
+// ReceiveHead takes what a peer knows of the log, so that contenders need not read it.
+func (e *Elector) ReceiveHead(s LogHead) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.Next <= max(e.heard, e.fold.Next) {
@@ -155,7 +155,7 @@
 	for team, n := range figures {
 		requests[string(team)] = n
 	}
-	return e.Do(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	return e.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		return e.append(ctx, &Duty{Body: &Duty_Close{Close: &Close{Fence: uint64(fence), Window: window, Requests: requests}}})
 	})
 }
@@ -195,7 +195,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fold.Next != from {
-		return nil, fmt.Errorf("%w: while it was read from %d", ErrMoved, from)
+		return nil, fmt.Errorf("%w: while it was read from %d", ErrLogAdvanced, from)
 	}
 	for _, r := range records {
 		e.fold.Apply(r)
@@ -266,7 +266,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.fold.Next != end {
-			return fmt.Errorf("%w: while record %d was appended", ErrMoved, end)
+			return fmt.Errorf("%w: while record %d was appended", ErrLogAdvanced, end)
 		}
 		e.fold.Apply(record)
 		e.seenAt = e.Now()
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -29,8 +29,8 @@
 	Expected uint64
 }
 
-// Supply is an order for targets of a service in an availability zone.
-type Supply struct {
+// ScaleOrder is an order for targets of a service in an availability zone.
+type ScaleOrder struct {
 	Service identifier.ServiceID
 	Zone    identifier.ZoneID
 	Count   int
@@ -43,10 +43,10 @@
 	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
 
-// Duty is the lease under which orders are sent.
-type Duty interface {
+// Lease is the lease under which orders are sent.
+type Lease interface {
 	Authority() (identifier.Fence, error)
-	Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
+	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 }
 
 const (
@@ -61,15 +61,15 @@
 	quietTime = 700 * time.Millisecond
 )
 
-// Keeper keeps the stages of all model targets; exported fields must be set.
-type Keeper struct {
+// StageController keeps the stages of all model targets; exported fields must be set.
+type StageController struct {
 	Holder    string
-	Duty      Duty
+	Lease     Lease
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// Shrinking tells that targets of a service are being given back: one that answers may be among them.
-	Shrinking func(service identifier.ServiceID) bool
+	// ScalingDown tells that targets of a service are being given back: one that answers may be among them.
+	ScalingDown func(service identifier.ServiceID) bool
 	// Announce tells the other instances of Pending at once.
 	Announce func()
 	Logger   *zap.Logger
@@ -104,9 +104,9 @@
 }
 
 // Run orders stages while the lease is held, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *StageController) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, stepPause) == nil {
-		fence, err := k.Duty.Authority()
+		fence, err := k.Lease.Authority()
 		if err != nil || fence == k.fenced {
 			k.heldAt = time.Time{}
 			continue
@@ -120,7 +120,7 @@
 	}
 }
 
-func (k *Keeper) arrangeAll(ctx context.Context, table *matcher.Table) {
+func (k *StageController) arrangeAll(ctx context.Context, table *matcher.Table) {
 	count := 0
 	for i := range table.Services {
 		if table.Services[i].Engine != nil {
@@ -138,7 +138,7 @@
 }
 
 // arrange orders the stages of one service's targets.
-func (k *Keeper) arrange(ctx context.Context, s *matcher.Service) {
+func (k *StageController) arrange(ctx context.Context, s *matcher.Service) {
 	targets := k.Targets(s.ID)
 	byID := map[identifier.TargetID]*registrar.Target{}
 	var engines []placer.StageEngine
@@ -156,7 +156,7 @@
 	}
 	placer.SortEngines(engines)
 	wanted := placer.WantedDecodeEngines(len(engines))
-	if k.Shrinking(s.ID) {
+	if k.ScalingDown(s.ID) {
 		wanted = max(wanted, min(2, len(engines)-1))
 	}
 	changes := placer.PlanStages(engines, wanted)
@@ -167,35 +167,35 @@
 	group.Wait()
 }
 
-// Pending is an order that was sent lately.
-type Pending struct {
+// PendingOrder is an order that was sent lately.
+type PendingOrder struct {
 	Target identifier.TargetID
 	Stage  registrar.Stage
 	Age    time.Duration
 }
 
-// Pending returns the orders that the targets' entries may not show yet.
-func (k *Keeper) Pending() []Pending {
+// PendingOrders returns the orders that the targets' entries may not show yet.
+func (k *StageController) PendingOrders() []PendingOrder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []Pending
+	var list []PendingOrder
 	for id, p := range k.ordered {
 		if age := time.Since(p.at); age < SettleTime {
-			list = append(list, Pending{Target: id, Stage: p.stage, Age: age})
+			list = append(list, PendingOrder{Target: id, Stage: p.stage, Age: age})
 		}
 	}
 	return list
 }
 
 // settling returns a target's order if it was sent lately.
-func (k *Keeper) settling(id identifier.TargetID) (pending, bool) {
+func (k *StageController) settling(id identifier.TargetID) (pending, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p, ok := k.ordered[id]
 	return p, ok && time.Since(p.at) < SettleTime
 }
 
-func (k *Keeper) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
+func (k *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
 	k.mu.Lock()
 	if k.ordered == nil {
 		k.ordered = map[identifier.TargetID]pending{}
@@ -209,12 +209,12 @@
 		return
 	}
 	var sent Order
-	err := k.Duty.Do(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := k.Lease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		expected, err := k.Commander.Accepted(ctx, t)
 		if err != nil {
 			return err
 		}
-		if held, err := k.Duty.Authority(); err != nil || held != fence {
+		if held, err := k.Lease.Authority(); err != nil || held != fence {
 			return elector.ErrNotHolder
 		}
 		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -30,7 +30,7 @@
 
 func (held) Authority() (identifier.Fence, error) { return 7, nil }
 
-func (held) Do(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
+func (held) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	return send(ctx, 7)
 }
 
@@ -49,7 +49,7 @@
 	})
 }
 
-func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.Supply) error {
+func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.ScaleOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var lot []*registrar.Target
@@ -146,9 +146,9 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			supplier := &orderkeeper.Supplier{Duty: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
-			keeper := &orderkeeper.Keeper{
-				Holder: "h", Duty: held{}, Commander: f, Table: getTable, Targets: f.list, Shrinking: supplier.Shrinking, Announce: func() {}, Logger: zap.NewNop(),
+			supplier := &orderkeeper.Scaler{Lease: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
+			keeper := &orderkeeper.StageController{
+				Holder: "h", Lease: held{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: supplier.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
--- a/internal/reporter/windows_test.go
+++ b/internal/reporter/windows_test.go
@@ -28,7 +28,7 @@
 	return d.fence, nil
 }
 
-func (d *duty) Do(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
+func (d *duty) WithLease(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
 	if d.fence == 0 {
 		return elector.ErrNotHolder
 	}
@@ -64,8 +64,8 @@
 		d := &duty{fence: 1, closed: map[int64]elector.Figures{}}
 		p := &platform{reports: map[int64][]elector.Figures{}}
 		count := uint64(10)
-		w := &reporter.Windows{
-			Duty: d, Platform: p, Length: 5 * time.Second, Late: 10 * time.Second, Now: time.Now, Logger: zap.NewNop(),
+		w := &reporter.WindowReporter{
+			Lease: d, Platform: p, Length: 5 * time.Second, MaximumDelay: 10 * time.Second, Now: time.Now, Logger: zap.NewNop(),
 			Total: func(int64) map[identifier.TeamID]uint64 { return map[identifier.TeamID]uint64{"team": count} },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
