--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -63,7 +63,7 @@
 	// has not said anything.
 	AddPayload func(b, last *Beat)
 	// OnStatus takes a status that is newer than the one before, and Learned what came with a beat.
-	OnStatus   func(s *Status, now time.Time)
+	OnStatus  func(s *Status, now time.Time)
 	OnMessage func(b *Beat, now time.Time)
 
 	mu       sync.Mutex
