--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -11,218 +11,221 @@
 )
 
 const (
-	// cachePart is the part of a target's memory that is taken to hold prompt parts; running requests need the rest.
-	cachePart = 0.7
-	// defaultCacheTokens stands for targets whose memory is not known.
+	// cacheFraction is the fraction of a target's memory that is assumed to hold prompt parts; running requests need the
+	// rest.
+	cacheFraction = 0.7
+	// defaultCacheTokens is the KV cache capacity assumed for each target, whose memory is not known here.
 	defaultCacheTokens = 300_000
-	// sickHalfLife is how fast failures are forgotten.
-	sickHalfLife = 2 * time.Second
-	// retellTime is how often peers hear again of a part that stays in use.
-	retellTime = 3 * time.Second
-	// keptSent is how many parts are kept for peers that have not heard of them.
-	keptSent = 256
-	// peerLoadLife is how long a peer's load counts without news of it.
-	peerLoadLife = 3 * time.Second
+	// failureHalfLife is the half-life of the failure score.
+	failureHalfLife = 2 * time.Second
+	// reportInterval is how often a part that stays in use is reported to peers again.
+	reportInterval = 3 * time.Second
+	// recentPartsKept is the least number of recent parts kept for peers that have not received them yet.
+	recentPartsKept = 256
+	// peerLoadLifetime is how long a peer's reported load counts without a new report.
+	peerLoadLifetime = 3 * time.Second
 )
 
-// CachedPart is a prompt part that a target has read for this instance; peers are told of it.
+// CachedPart is a prompt part in the KV cache of a target; instances report new ones to their peers.
 type CachedPart struct {
 	Target identifier.TargetID
 	Part   Part
 }
 
-// TargetStates keeps what this instance knows of each target; the zero value is ready.
+// TargetStates holds what this instance knows about each target: load, cached prompt parts and failures. The zero value
+// is ready to use.
 type TargetStates struct {
 	mu      sync.Mutex
-	targets map[identifier.TargetID]*page
-	peers   map[string]report
-	// sent holds the last parts that were read for this instance; the last one has the number sentNext-1.
-	sent     []CachedPart
-	sentNext uint64
+	targets map[identifier.TargetID]*targetState
+	peers   map[string]peerReport
+	// recentParts holds the parts recorded last, to be reported to peers; the last one has the offset nextOffset-1.
+	recentParts []CachedPart
+	nextOffset  uint64
 }
 
-type page struct {
-	own Load
-	// peers sums the loads that peers reported.
-	peers   Load
-	parts   map[identifier.PartID]*held
-	tokens  identifier.Tokens
-	sick    float64
-	sickAt  time.Time
-	firstAt time.Time
-	born    time.Time
+type targetState struct {
+	ownLoad Load
+	// peerLoad is the sum of the loads that peers reported.
+	peerLoad     Load
+	parts        map[identifier.PartID]*partState
+	cachedTokens identifier.Tokens
+	failures     float64
+	failuresAt   time.Time
+	firstSeen    time.Time
+	startedAt    time.Time
 }
 
-// report is what a peer last told of its loads.
-type report struct {
-	loads map[identifier.TargetID]Load
-	at    time.Time
+// peerReport holds the loads of a peer's last report.
+type peerReport struct {
+	loads      map[identifier.TargetID]Load
+	receivedAt time.Time
 }
 
-type held struct {
-	tokens identifier.Tokens
-	used   time.Time
-	told   time.Time
+type partState struct {
+	tokens     identifier.Tokens
+	usedAt     time.Time
+	reportedAt time.Time
 }
 
-// Candidates describes targets for a choice; parts may be empty.
-func (b *TargetStates) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Candidates returns the state of the given targets for a choice; parts may be empty.
+func (ts *TargetStates) Candidates(targets []*registrar.Target, parts []Part, now time.Time) []Candidate {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
 	list := make([]Candidate, 0, len(targets))
 	for _, t := range targets {
-		p := b.page(t.ID, now)
-		if !t.StartedAt.Equal(p.born) {
-			p.parts, p.tokens, p.born = nil, 0, t.StartedAt
+		s := ts.state(t.ID, now)
+		if !t.StartedAt.Equal(s.startedAt) {
+			s.parts, s.cachedTokens, s.startedAt = nil, 0, t.StartedAt
 		}
 		list = append(list, Candidate{
-			Target: t, Load: p.load(), Cached: p.cached(parts), FailureScore: p.sickness(now), Age: now.Sub(p.firstAt),
+			Target: t, Load: s.load(), Cached: s.cached(parts), FailureScore: s.failureScore(now), Age: now.Sub(s.firstSeen),
 		})
 	}
 	return list
 }
 
-// Begin notes work that this instance sends to a target; the returned function ends it.
-func (b *TargetStates) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
-	b.add(id, work, 1, now)
+// Begin adds work to this instance's load of a target; the returned function removes it and may be called repeatedly.
+func (ts *TargetStates) Begin(id identifier.TargetID, work Load, now time.Time) (end func()) {
+	ts.add(id, work, 1, now)
 	var once sync.Once
-	return func() { once.Do(func() { b.add(id, work, -1, now) }) }
+	return func() { once.Do(func() { ts.add(id, work, -1, now) }) }
 }
 
-func (b *TargetStates) add(id identifier.TargetID, work Load, sign int, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.page(id, now).own.add(work, sign)
+func (ts *TargetStates) add(id identifier.TargetID, work Load, sign int, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.state(id, now).ownLoad.add(work, sign)
 }
 
-// Prefilled notes that a target holds the parts of a prompt, and remembers to tell peers.
-func (b *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.page(id, now)
+// Prefilled records that a target now caches the parts of a prompt and queues them for the peers.
+func (ts *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	s := ts.state(id, now)
 	for _, part := range parts {
-		b.note(p, CachedPart{Target: id, Part: part}, now)
+		ts.record(s, CachedPart{Target: id, Part: part}, now)
 	}
 }
 
-// note keeps a part and, unless that is known of late, remembers to tell peers.
-func (b *TargetStates) note(p *page, s CachedPart, now time.Time) {
-	if !p.hold(s.Part, now) {
+// record adds a part to a target's state and queues it for the peers unless it was reported recently.
+func (ts *TargetStates) record(s *targetState, part CachedPart, now time.Time) {
+	if !s.addPart(part.Part, now) {
 		return
 	}
-	b.sent = append(b.sent, s)
-	b.sentNext++
-	if len(b.sent) > 2*keptSent {
-		b.sent = slices.Clone(b.sent[len(b.sent)-keptSent:])
+	ts.recentParts = append(ts.recentParts, part)
+	ts.nextOffset++
+	if len(ts.recentParts) > 2*recentPartsKept {
+		ts.recentParts = slices.Clone(ts.recentParts[len(ts.recentParts)-recentPartsKept:])
 	}
 }
 
-// AddReported notes what a peer told of a target's parts.
-func (b *TargetStates) AddReported(s CachedPart, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.note(b.page(s.Target, now), s, now)
+// AddReported records a cached part that a peer reported.
+func (ts *TargetStates) AddReported(part CachedPart, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.record(ts.state(part.Target, now), part, now)
 }
 
-// PartsSince returns the parts read from a number on, as far as they are kept, and the number to go on with.
-func (b *TargetStates) PartsSince(from uint64) ([]CachedPart, uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	first := b.sentNext - uint64(len(b.sent))
-	from = min(max(from, first), b.sentNext)
-	return slices.Clone(b.sent[from-first:]), b.sentNext
+// PartsSince returns the parts recorded since an offset, as far as they are still kept, and the next offset.
+func (ts *TargetStates) PartsSince(from uint64) ([]CachedPart, uint64) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	firstKept := ts.nextOffset - uint64(len(ts.recentParts))
+	from = min(max(from, firstKept), ts.nextOffset)
+	return slices.Clone(ts.recentParts[from-firstKept:]), ts.nextOffset
 }
 
-// Failed counts a failure of a target.
-func (b *TargetStates) Failed(id identifier.TargetID, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.page(id, now)
-	p.sick = p.sickness(now) + 1
-	p.sickAt = now
+// Failed adds a failure to a target's failure score.
+func (ts *TargetStates) Failed(id identifier.TargetID, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	s := ts.state(id, now)
+	s.failures = s.failureScore(now) + 1
+	s.failuresAt = now
 }
 
-// Succeeded halves the failures that are held against a target.
-func (b *TargetStates) Succeeded(id identifier.TargetID, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.page(id, now)
-	p.sick = p.sickness(now) / 2
-	p.sickAt = now
+// Succeeded halves a target's failure score.
+func (ts *TargetStates) Succeeded(id identifier.TargetID, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	s := ts.state(id, now)
+	s.failures = s.failureScore(now) / 2
+	s.failuresAt = now
 }
 
-// OwnLoads returns this instance's load of each target that has any.
-func (b *TargetStates) OwnLoads() map[identifier.TargetID]Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// OwnLoads returns the work that this instance has in flight, by target; idle targets are left out.
+func (ts *TargetStates) OwnLoads() map[identifier.TargetID]Load {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
-	for id, p := range b.targets {
-		if p.own != (Load{}) {
-			own[id] = p.own
+	for id, s := range ts.targets {
+		if s.ownLoad != (Load{}) {
+			own[id] = s.ownLoad
 		}
 	}
 	return own
 }
 
-// SetPeerLoads replaces a peer's loads.
-func (b *TargetStates) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.drop(peer)
-	if b.peers == nil {
-		b.peers = map[string]report{}
+// SetPeerLoads replaces the loads reported by a peer.
+func (ts *TargetStates) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.removePeer(peer)
+	if ts.peers == nil {
+		ts.peers = map[string]peerReport{}
 	}
-	b.peers[peer] = report{loads, now}
+	ts.peers[peer] = peerReport{loads, now}
 	for id, load := range loads {
-		b.page(id, now).peers.add(load, 1)
+		ts.state(id, now).peerLoad.add(load, 1)
 	}
 }
 
-// drop takes a peer's loads out of the sums.
-func (b *TargetStates) drop(peer string) {
-	for id, load := range b.peers[peer].loads {
-		if p := b.targets[id]; p != nil {
-			p.peers.add(load, -1)
+// removePeer subtracts a peer's loads from the sums.
+func (ts *TargetStates) removePeer(peer string) {
+	for id, load := range ts.peers[peer].loads {
+		if s := ts.targets[id]; s != nil {
+			s.peerLoad.add(load, -1)
 		}
 	}
-	delete(b.peers, peer)
+	delete(ts.peers, peer)
 }
 
-// Retain drops all targets but the given ones, unless there is work on them, and the loads of peers without news.
-func (b *TargetStates) Retain(targets []*registrar.Target, now time.Time) {
+// Retain removes targets that are not in the list and have no work in flight, and the loads of peers whose last report
+// is too old.
+func (ts *TargetStates) Retain(targets []*registrar.Target, now time.Time) {
 	keep := map[identifier.TargetID]bool{}
 	for _, t := range targets {
 		keep[t.ID] = true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for peer, r := range b.peers {
-		if now.Sub(r.at) > peerLoadLife {
-			b.drop(peer)
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	for peer, report := range ts.peers {
+		if now.Sub(report.receivedAt) > peerLoadLifetime {
+			ts.removePeer(peer)
 		}
 	}
-	for id, p := range b.targets {
-		if !keep[id] && p.own == (Load{}) && p.peers == (Load{}) {
-			delete(b.targets, id)
+	for id, s := range ts.targets {
+		if !keep[id] && s.ownLoad == (Load{}) && s.peerLoad == (Load{}) {
+			delete(ts.targets, id)
 		}
 	}
 }
 
-func (b *TargetStates) page(id identifier.TargetID, now time.Time) *page {
-	if b.targets == nil {
-		b.targets = map[identifier.TargetID]*page{}
+func (ts *TargetStates) state(id identifier.TargetID, now time.Time) *targetState {
+	if ts.targets == nil {
+		ts.targets = map[identifier.TargetID]*targetState{}
 	}
-	p := b.targets[id]
-	if p == nil {
-		p = &page{firstAt: now}
-		b.targets[id] = p
+	s := ts.targets[id]
+	if s == nil {
+		s = &targetState{firstSeen: now}
+		ts.targets[id] = s
 	}
-	return p
+	return s
 }
 
-func (p *page) load() Load {
-	total := p.own
-	total.add(p.peers, 1)
+func (s *targetState) load() Load {
+	total := s.ownLoad
+	total.add(s.peerLoad, 1)
 	return total
 }
 
@@ -232,55 +235,56 @@
 	l.AnswerTokens += identifier.Tokens(sign) * other.AnswerTokens
 }
 
-// cached sums the leading parts that the target holds.
-func (p *page) cached(parts []Part) identifier.Tokens {
+// cached returns the number of leading prompt tokens that the target holds, up to the first part it lacks.
+func (s *targetState) cached(parts []Part) identifier.Tokens {
 	total := identifier.Tokens(0)
 	for _, part := range parts {
-		h := p.parts[part.ID]
-		if h == nil {
+		cached := s.parts[part.ID]
+		if cached == nil {
 			break
 		}
-		total += min(h.tokens, part.Tokens)
+		total += min(cached.tokens, part.Tokens)
 	}
 	return total
 }
 
-// hold adds a part, or notes its use; the least recently used ones yield. It reports what others should hear.
-func (p *page) hold(part Part, now time.Time) bool {
-	if p.parts == nil {
-		p.parts = map[identifier.PartID]*held{}
+// addPart adds a part or marks it as used, evicting the least recently used parts if the cache is full. It reports
+// whether the part is due to be reported to peers.
+func (s *targetState) addPart(part Part, now time.Time) bool {
+	if s.parts == nil {
+		s.parts = map[identifier.PartID]*partState{}
 	}
-	if h := p.parts[part.ID]; h != nil {
-		news := now.Sub(h.told) > retellTime
-		h.used = now
-		if news {
-			h.told = now
+	if cached := s.parts[part.ID]; cached != nil {
+		due := now.Sub(cached.reportedAt) > reportInterval
+		cached.usedAt = now
+		if due {
+			cached.reportedAt = now
 		}
-		return news
+		return due
 	}
-	p.parts[part.ID] = &held{tokens: part.Tokens, used: now, told: now}
-	p.tokens += part.Tokens
-	for float64(p.tokens) > cachePart*defaultCacheTokens && len(p.parts) > 1 {
-		p.evict()
+	s.parts[part.ID] = &partState{tokens: part.Tokens, usedAt: now, reportedAt: now}
+	s.cachedTokens += part.Tokens
+	for float64(s.cachedTokens) > cacheFraction*defaultCacheTokens && len(s.parts) > 1 {
+		s.evict()
 	}
 	return true
 }
 
-func (p *page) evict() {
+func (s *targetState) evict() {
 	var oldest identifier.PartID
-	var at time.Time
-	for id, h := range p.parts {
-		if at.IsZero() || h.used.Before(at) {
-			oldest, at = id, h.used
+	var oldestUse time.Time
+	for id, cached := range s.parts {
+		if oldestUse.IsZero() || cached.usedAt.Before(oldestUse) {
+			oldest, oldestUse = id, cached.usedAt
 		}
 	}
-	p.tokens -= p.parts[oldest].tokens
-	delete(p.parts, oldest)
+	s.cachedTokens -= s.parts[oldest].tokens
+	delete(s.parts, oldest)
 }
 
-func (p *page) sickness(now time.Time) float64 {
-	if p.sick == 0 {
+func (s *targetState) failureScore(now time.Time) float64 {
+	if s.failures == 0 {
 		return 0
 	}
-	return p.sick * math.Exp2(-now.Sub(p.sickAt).Seconds()/sickHalfLife.Seconds())
+	return s.failures * math.Exp2(-now.Sub(s.failuresAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -9,32 +9,33 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// A prompt goes to the target with the lowest predicted time until it is computed: the prompt tokens that are queued
-// there, those of this prompt that the target does not hold, and the way to another availability zone. Parts that no
-// target holds pull weakly towards one target by rendezvous hashing, so that instances that have not yet heard of each
-// other's sends agree. An answer goes to the target with the fewest answers for its batch.
+// A prompt goes to the target with the lowest predicted time until it is prefilled. The prediction covers the prompt
+// tokens queued at the target and the tokens of this prompt that it has not cached; a target in another availability
+// zone costs extra. Parts that no target has cached are drawn weakly to one target, their owner by rendezvous hashing,
+// so that instances agree even before they have received each other's gossip messages. An answer goes to the target
+// with the fewest answers in its batch.
 
 const (
-	// promptTokensPerSecond is what an engine of the users' sheets computes.
-	promptTokensPerSecond = 36_700
-	// promptSetup is what each prompt takes besides its tokens.
-	promptSetup = 25 * time.Millisecond
-	// zoneCost weighs bytes between availability zones against time.
-	zoneCost = 40 * time.Millisecond
-	// strayPart is what a target other than the hashed one costs for shared parts that nobody holds, and rereadPart what
-	// one costs for parts that another target holds, as a part of the time that it takes to compute them: they then
-	// take up memory twice and push others out.
-	strayPart  = 1.3
-	rereadPart = 0.5
-	// answerCost is what one more answer in the batch costs the others.
+	// prefillTokensPerSecond is the prefill rate of one engine, from the users' engine specifications.
+	prefillTokensPerSecond = 36_700
+	// promptOverhead is the fixed time per prompt on top of its tokens.
+	promptOverhead = 25 * time.Millisecond
+	// crossZoneCost expresses the price of traffic between availability zones as time.
+	crossZoneCost = 40 * time.Millisecond
+	// nonOwnerFraction is the cost of prefilling shared parts on a target that is not their owner, and duplicateFraction
+	// that of prefilling parts that another target has cached, both as a fraction of the prefill time: the copies take
+	// up memory twice and evict other parts.
+	nonOwnerFraction  = 1.3
+	duplicateFraction = 0.5
+	// answerCost is how much one more answer slows down the rest of the batch.
 	answerCost = 8 * time.Millisecond
-	// coldCost is what a target costs right after its start, less as it warms up.
+	// coldCost is the cost of a target that has just started; it declines as the target warms up.
 	coldCost = 150 * time.Millisecond
-	// sickCost is what each recent failure adds; failures fade with sickHalfLife.
-	sickCost = 250 * time.Millisecond
+	// failureCost is the cost of each point of the failure score.
+	failureCost = 250 * time.Millisecond
 )
 
-// Part is a piece of a prompt; requests share pieces up to the first one that differs.
+// Part is a part of a prompt; two requests share their parts up to the first one that differs.
 type Part struct {
 	ID     identifier.PartID
 	Tokens identifier.Tokens
@@ -47,40 +48,40 @@
 	AnswerTokens identifier.Tokens
 }
 
-// Candidate is what is known of a target.
+// Candidate describes a target for a choice.
 type Candidate struct {
 	Target *registrar.Target
 	Load   Load
-	// Cached is how many leading tokens of the prompt the target holds.
+	// Cached is the number of leading prompt tokens in the target's KV cache.
 	Cached identifier.Tokens
-	// FailureScore counts recent failures.
+	// FailureScore counts failures; it decays with failureHalfLife.
 	FailureScore float64
-	// Age is how long the target has been known here.
+	// Age is the time since this instance first saw the target.
 	Age time.Duration
 }
 
-// Jitter spreads the choices of instances that have seen the same loads, which are old by a beat or two: each adds a
-// chance of up to Spread to a target's cost.
+// Jitter adds a random cost of up to Maximum to each target. It spreads the choices of instances that see the same
+// loads, which are one or two gossip intervals old.
 type Jitter struct {
 	Seed    uint64
 	Maximum time.Duration
 }
 
-func (d Jitter) chance(t *registrar.Target) time.Duration {
-	if d.Maximum <= 0 {
+func (j Jitter) cost(t *registrar.Target) time.Duration {
+	if j.Maximum <= 0 {
 		return 0
 	}
-	return time.Duration(mix(d.Seed^xxhash.Sum64String(string(t.ID))) % uint64(d.Maximum))
+	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.Maximum))
 }
 
-// Prompt is what the choice of a prompt target depends on.
+// Prompt describes a prompt for the choice of its target.
 type Prompt struct {
 	Zone   identifier.ZoneID
 	Parts  []Part
 	Jitter Jitter
 }
 
-// Tokens sums the parts.
+// Tokens returns the number of tokens in all parts.
 func (p *Prompt) Tokens() identifier.Tokens {
 	total := identifier.Tokens(0)
 	for _, part := range p.Parts {
@@ -89,15 +90,15 @@
 	return total
 }
 
-// shared sums the parts but the last one, which belongs to the request or its session.
-func (p *Prompt) shared() identifier.Tokens {
+// sharedTokens returns the number of tokens in all parts but the last, which belongs to the request or its session.
+func (p *Prompt) sharedTokens() identifier.Tokens {
 	if len(p.Parts) == 0 {
 		return 0
 	}
 	return p.Tokens() - p.Parts[len(p.Parts)-1].Tokens
 }
 
-func mostCached(candidates []Candidate) identifier.Tokens {
+func maximumCached(candidates []Candidate) identifier.Tokens {
 	most := identifier.Tokens(0)
 	for i := range candidates {
 		most = max(most, candidates[i].Cached)
@@ -105,49 +106,49 @@
 	return most
 }
 
-// Choice is a choice with the prediction that decided it.
+// Choice is the chosen target with the prediction that decided it.
 type Choice struct {
 	Target    *registrar.Target
 	Predicted time.Duration
-	// Uncached is how many tokens of the prompt the target has to compute.
+	// Uncached is the number of prompt tokens that the target has to prefill.
 	Uncached identifier.Tokens
 }
 
-// PromptTarget returns the target that computes a prompt soonest, or false without candidates.
+// PromptTarget returns the target with the lowest cost for prefilling a prompt, or false without candidates.
 func PromptTarget(p *Prompt, candidates []Candidate) (Choice, bool) {
 	var best Choice
 	var bestCost time.Duration
 	total := p.Tokens()
-	home := homeOf(p, candidates)
-	held := mostCached(candidates)
-	shared := p.shared()
+	owner := ownerOf(p, candidates)
+	mostCached := maximumCached(candidates)
+	shared := p.sharedTokens()
 	for i := range candidates {
 		c := &candidates[i]
-		v := Choice{Target: c.Target, Uncached: max(0, total-c.Cached)}
-		v.Predicted = promptSetup + promptTime(c.Load.PromptTokens+v.Uncached)
-		cost := v.Predicted + handicap(c, p.Zone)
-		// A holder of only the first parts, which are common to most requests, is no reason not to read them at home.
-		if held >= shared {
-			cost += time.Duration(rereadPart * float64(promptTime(held-c.Cached)))
+		choice := Choice{Target: c.Target, Uncached: max(0, total-c.Cached)}
+		choice.Predicted = promptOverhead + prefillTime(c.Load.PromptTokens+choice.Uncached)
+		cost := choice.Predicted + penalty(c, p.Zone)
+		// Most requests share the first parts. A target that has cached only these must not keep the rest from the owner.
+		if mostCached >= shared {
+			cost += time.Duration(duplicateFraction * float64(prefillTime(mostCached-c.Cached)))
 		}
-		if i != home {
-			cost += time.Duration(strayPart * float64(promptTime(max(0, shared-c.Cached))))
+		if i != owner {
+			cost += time.Duration(nonOwnerFraction * float64(prefillTime(max(0, shared-c.Cached))))
 		}
-		cost += p.Jitter.chance(c.Target)
+		cost += p.Jitter.cost(c.Target)
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = v, cost
+			best, bestCost = choice, cost
 		}
 	}
 	return best, best.Target != nil
 }
 
-// AnswerTarget returns the target whose batch suffers least, or false without candidates.
-func AnswerTarget(zone identifier.ZoneID, draw Jitter, candidates []Candidate) (Choice, bool) {
+// AnswerTarget returns the target whose batch is slowed down least by another answer, or false without candidates.
+func AnswerTarget(zone identifier.ZoneID, jitter Jitter, candidates []Candidate) (Choice, bool) {
 	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
-		cost := time.Duration(c.Load.Answers)*answerCost + handicap(c, zone) + draw.chance(c.Target)
+		cost := time.Duration(c.Load.Answers)*answerCost + penalty(c, zone) + jitter.cost(c.Target)
 		if c.Target.Slots > 0 && c.Load.Answers >= c.Target.Slots {
 			cost += time.Second
 		}
@@ -166,7 +167,7 @@
 		c := &candidates[i]
 		slots := max(1, c.Target.Slots)
 		wait := work * time.Duration(c.Load.Answers) / time.Duration(slots)
-		cost := wait + handicap(c, zone)/8
+		cost := wait + penalty(c, zone)/8
 		if best.Target == nil || cost < bestCost {
 			best, bestCost = Choice{Target: c.Target, Predicted: wait + work}, cost
 		}
@@ -174,15 +175,15 @@
 	return best, best.Target != nil
 }
 
-func promptTime(tokens identifier.Tokens) time.Duration {
-	return time.Duration(float64(tokens) / promptTokensPerSecond * float64(time.Second))
+func prefillTime(tokens identifier.Tokens) time.Duration {
+	return time.Duration(float64(tokens) / prefillTokensPerSecond * float64(time.Second))
 }
 
-// handicap is what speaks against a target besides its load.
-func handicap(c *Candidate, zone identifier.ZoneID) time.Duration {
-	cost := time.Duration(c.FailureScore * float64(sickCost))
+// penalty returns the cost of a target apart from its load.
+func penalty(c *Candidate, zone identifier.ZoneID) time.Duration {
+	cost := time.Duration(c.FailureScore * float64(failureCost))
 	if c.Target.Zone != zone {
-		cost += zoneCost
+		cost += crossZoneCost
 	}
 	if cold := c.Target.WarmUpRemaining - c.Age; cold > 0 {
 		cost += time.Duration(float64(coldCost) * min(1, cold.Seconds()))
@@ -190,9 +191,9 @@
 	return cost
 }
 
-// homeOf is the candidate that rendezvous hashing gives for all shared parts: the first ones alone may be common to
-// most requests, and would lead them to few targets.
-func homeOf(p *Prompt, candidates []Candidate) int {
+// ownerOf returns the index of the candidate that owns the prompt by rendezvous hashing, or -1 without shared parts.
+// All shared parts are hashed: most requests may share the first ones, which would send them to a few targets.
+func ownerOf(p *Prompt, candidates []Candidate) int {
 	if len(p.Parts) < 2 {
 		return -1
 	}
--- a/internal/chooser/doc.go
+++ b/internal/chooser/doc.go
@@ -1,2 +1,2 @@
-// Package chooser decides which targets take a request, by predicted time; it does no I/O.
+// Package chooser chooses the targets of a request by predicted time. It does no I/O.
 package chooser
