--- a/internal/forwarder/body.go
+++ b/internal/forwarder/body.go
@@ -6,59 +6,59 @@
 	"sync"
 )
 
-// ErrBodyMemory is returned when the bodies that are held take up all the memory that they may.
-var ErrBodyMemory = errors.New("no memory for another body")
+// ErrBodyMemory is returned when the buffers for request bodies are full.
+var ErrBodyMemory = errors.New("memory limit of request body buffers reached")
 
 const (
-	// heldBodyBytes is the most that is held of one body, so that it can be sent again or to a second target: prompts of
-	// the users' sheets have 17,000 tokens, of some bytes each.
-	heldBodyBytes = 512 << 10
-	// heldBodiesBytes is the most that is held of all bodies where nothing else is set.
-	heldBodiesBytes = 32 << 20
-	// heldAnswerBytes is the most that is held of a plain target's answer, so that another target can mend a broken one.
-	heldAnswerBytes = 256 << 10
+	// bufferedBodyBytes is the most that is buffered of one body for retries and for a second target; it holds the prompts
+	// in the users' specifications, which have 17,000 tokens of a few bytes each.
+	bufferedBodyBytes = 512 << 10
+	// defaultMaximumBytes is the default of BodyBuffers.MaximumBytes.
+	defaultMaximumBytes = 32 << 20
+	// bufferedResponseBytes is the most that is buffered of a plain target's response, so that a broken one can be retried
+	// before the client has received any of it.
+	bufferedResponseBytes = 256 << 10
 )
 
-// Body is a request's body: its start, which is held and can be sent again, and the rest, which can be read once.
+// Body is a request body: a buffered start, which can be sent repeatedly, and the rest, which can be read once.
 type Body struct {
 	Buffered []byte
-	// Rest is nil if the start is all.
+	// Rest is nil if the whole body is buffered.
 	Rest io.Reader
-	// RestBytes is the length of the rest; -1: not known.
+	// RestBytes is the length of Rest, or -1 if unknown.
 	RestBytes int64
 }
 
-// Whole tells that all of the body is held.
+// Whole reports whether the whole body is buffered.
 func (b *Body) Whole() bool { return b.Rest == nil }
 
-// BodyBuffers bounds the memory of the bodies that are held at once; the zero value is ready.
+// BodyBuffers bounds the memory of all buffered bodies; the zero value is ready to use.
 type BodyBuffers struct {
-	// MaximumBytes is the most bytes that are held; zero: 32 MiB.
+	// MaximumBytes is the limit; zero means 32 MiB.
 	MaximumBytes int64
 
 	mu   sync.Mutex
 	used int64
 }
 
-// Read reads the start of a body of some length, or of -1 for one that is not known; release must be called at the end
-// of the request.
+// Read buffers the start of a body; length is -1 if unknown. The caller must call release at the end of the request.
 func (b *BodyBuffers) Read(r io.Reader, length int64) (body Body, release func(), err error) {
-	size := int64(heldBodyBytes)
+	size := int64(bufferedBodyBytes)
 	if length >= 0 {
 		size = min(size, length)
 	}
-	if !b.take(size) {
+	if !b.reserve(size) {
 		return Body{}, nil, ErrBodyMemory
 	}
 	start, err := io.ReadAll(io.LimitReader(r, size))
 	if err != nil {
-		b.take(-size)
+		b.reserve(-size)
 		return Body{}, nil, err
 	}
-	// A body without a length is most likely shorter than what was kept free for it.
-	held := int64(len(start))
-	b.take(held - size)
-	release = func() { b.take(-held) }
+	// A body of unknown length is usually shorter than the memory reserved for it.
+	buffered := int64(len(start))
+	b.reserve(buffered - size)
+	release = func() { b.reserve(-buffered) }
 	body.Buffered = start
 	switch {
 	case length > size:
@@ -69,15 +69,15 @@
 	return body, release, nil
 }
 
-// take adds to the memory in use unless that would be more than allowed.
-func (b *BodyBuffers) take(size int64) bool {
+// reserve adds size to the memory in use, unless that would exceed the limit; a negative size releases memory.
+func (b *BodyBuffers) reserve(size int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := b.MaximumBytes
-	if most <= 0 {
-		most = heldBodiesBytes
+	maximum := b.MaximumBytes
+	if maximum <= 0 {
+		maximum = defaultMaximumBytes
 	}
-	if size > 0 && b.used+size > most {
+	if size > 0 && b.used+size > maximum {
 		return false
 	}
 	b.used += size
--- a/internal/forwarder/doc.go
+++ b/internal/forwarder/doc.go
@@ -1,2 +1,2 @@
-// Package forwarder takes one request from a client through admission, targets and retries to its final answer.
+// Package forwarder handles one client request from admission, through targets and retries, to its final answer.
 package forwarder
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -19,39 +19,40 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// The way of a request:
+// Path of a request:
 //
-//	admit: route, team, deadline --> plain: one target, retried where the kind allows it
-//	                             \-> streamed: prompt target computes, answer target generates, events go on as they come
+//	admit: route, team, deadline --> servePlain: one target, retried if the kind of the route allows it
+//	                             \-> serveStream: prefill on a prompt target, then relay of the answer target's events
 //
-// Each way ends with the target's own answer, or with a refusal that says whether the request may have run.
+// Each path ends with a target's response, or with a refusal that says whether the request may have run.
 
 const (
-	// keptFreshness is how old a kept connection may be for requests that may be repeated.
-	keptFreshness = 10 * time.Second
-	// onceFreshness is the same for requests that run at most once: a connection that was just used is not yet dropped.
-	onceFreshness = 300 * time.Millisecond
-	// comeBack is the least time that a refused client is asked to wait.
-	comeBack = 150 * time.Millisecond
-	// returnSpread is over how long those come back who wait for the same target.
-	returnSpread = 300 * time.Millisecond
-	// staleConfiguration is the age beyond which an unknown route or key may just be new.
-	staleConfiguration = 1500 * time.Millisecond
-	// plainWork is what a call to a plain target usually takes.
-	plainWork = 20 * time.Millisecond
-	// fewestConnections is what an instance may open to each target however many instances there are.
-	fewestConnections = 4
-	// minimumLeft is the least time that is worth a send.
-	minimumLeft = 5 * time.Millisecond
+	// repeatableFreshness is the maximum idle time of a reused connection for requests that may be repeated.
+	repeatableFreshness = 10 * time.Second
+	// unrepeatableFreshness is the same for requests that run at most once: a target is unlikely to have closed a
+	// connection that was in use this recently.
+	unrepeatableFreshness = 300 * time.Millisecond
+	// minimumRetryAfter is the shortest time after which a refused client is asked to retry.
+	minimumRetryAfter = 150 * time.Millisecond
+	// retryAfterJitter spreads the retries of clients that wait for the same target.
+	retryAfterJitter = 300 * time.Millisecond
+	// staleConfigurationAge is the configuration age beyond which an unknown route or key may be a new one.
+	staleConfigurationAge = 1500 * time.Millisecond
+	// plainServiceTime is the usual duration of a call to a plain target.
+	plainServiceTime = 20 * time.Millisecond
+	// minimumConnections is the number of connections to a target that each instance may open, whatever its share.
+	minimumConnections = 4
+	// minimumRemaining is the least time before the deadline at which a retry is still worthwhile.
+	minimumRemaining = 5 * time.Millisecond
 )
 
-// RetryBudget allows sends beyond the first of a request.
+// RetryBudget limits attempts beyond the first of a request.
 type RetryBudget interface {
 	AddRequest(service identifier.ServiceID)
 	TakeRetry(service identifier.ServiceID) bool
 }
 
-// Forwarder serves requests; all fields must be set.
+// Forwarder handles client requests; all fields must be set.
 type Forwarder struct {
 	Zone     identifier.ZoneID
 	Table    func() *matcher.Table
@@ -61,104 +62,105 @@
 	Chooser  *chooser.Chooser
 	Backend  Backend
 	Budget   RetryBudget
-	// Instances is how many instances share the targets' connections, this one with them.
+	// Instances returns how many instances share the targets' connections, including this one.
 	Instances func() int
-	// Expected returns how soon a target of a stage is expected that is not there yet, or false if none is.
+	// Expected returns the time until a target that is changing to a stage is expected there, or false if there is none.
 	Expected func(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool)
-	// MaximumJitter is how far apart the predictions of two instances may be.
+	// MaximumJitter returns by how much the predictions of two instances may differ.
 	MaximumJitter func() time.Duration
-	// RecordDemand notes prompt tokens that a request would have computed.
+	// RecordDemand records the prompt tokens that a request needs prefilled.
 	RecordDemand func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
-	// CountRequest counts a request that began to run now.
+	// CountRequest counts a request that a target has started to run.
 	CountRequest func(team identifier.TeamID)
 	Logger       *zap.Logger
 	Metrics      tally.Scope
 }
 
-// job is one request on its way.
+// job is the state of one request.
 type job struct {
-	f      *Forwarder
-	w      http.ResponseWriter
-	call   *Call
-	route  *matcher.Route
-	team   *matcher.Team
-	target identifier.ServiceID
-	due    time.Time
-	start  time.Time
-	sends  int
-	reads  int
-	// kept is the handle of a prompt that was read and not yet used.
-	kept *CacheHandle
-	// promptsFailed tells that a prompt target was tried in vain.
-	promptsFailed bool
-	failed        []identifier.TargetID
-	began         bool
-	// wrote tells that the head of the answer went to the client.
-	wrote bool
-	trace trace
-	// status is that of the target's answer.
+	f        *Forwarder
+	w        http.ResponseWriter
+	call     *Call
+	route    *matcher.Route
+	team     *matcher.Team
+	service  identifier.ServiceID
+	deadline time.Time
+	start    time.Time
+	attempts int
+	prefills int
+	// unusedCache is the handle of a prefilled prompt that no target has fetched yet.
+	unusedCache *CacheHandle
+	// prefillFailed is set after a failed prefill.
+	prefillFailed bool
+	failedTargets []identifier.TargetID
+	started       bool
+	// headerSent is set once the response header has been sent to the client.
+	headerSent bool
+	trace      trace
+	// status is the status of the target's response.
 	status int
 }
 
-// trace is what decided a request, for the log.
+// trace holds the choices and times of a request for the log.
 type trace struct {
 	promptTarget identifier.TargetID
 	answerTarget identifier.TargetID
 	predicted    time.Duration
-	fresh        identifier.Tokens
-	promptTook   time.Duration
+	uncached     identifier.Tokens
+	prefillTook  time.Duration
 	firstEvent   time.Duration
 }
 
-// Serve answers a call.
+// Serve handles a call and writes the answer to w.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, call *Call) {
 	j := &job{f: f, w: w, call: call, start: time.Now()}
 	refusal := j.admit()
 	if refusal == nil {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, j.due)
+		ctx, cancel = context.WithDeadline(ctx, j.deadline)
 		defer cancel()
 		if j.route.Kind == matcher.Stream {
-			refusal = j.streamed(ctx)
+			refusal = j.serveStream(ctx)
 		} else {
-			refusal = j.plain(ctx)
+			refusal = j.servePlain(ctx)
 		}
 	}
 	j.finish(ctx, refusal)
 }
 
-// finish sends a refusal, if there is one, and logs the outcome.
+// finish writes the refusal, if any, and logs the outcome.
 func (j *job) finish(ctx context.Context, refusal *Refusal) {
 	j.f.Metrics.Counter("Requests").Inc(1)
 	if refusal == nil {
 		j.logServed()
 		return
 	}
-	// A client that has left hears nothing; its connection is closed, so that no half answer looks whole.
+	// The client has left. Its connection is closed, so that a partial response can't look complete.
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		j.log("client left", refusal)
+		j.logRefusal("client left", refusal)
 		panic(http.ErrAbortHandler)
 	}
-	asserter.That(!refusal.promisesNotRun() || !j.began, asserter.NotRunIsTrue, "request %s: %s", j.call.ID, refusal.Reason)
+	asserter.That(!refusal.impliesNotRun() || !j.started, asserter.NotRunIsTrue,
+		"request %s: %s", j.call.ID, refusal.Reason)
 	j.f.Metrics.Tagged(map[string]string{"Reason": refusal.Reason}).Counter("Refusals").Inc(1)
-	j.log("request refused", refusal)
-	if j.wrote {
+	j.logRefusal("request refused", refusal)
+	if j.headerSent {
 		panic(http.ErrAbortHandler)
 	}
-	refusal.write(j.w)
+	refusal.writeTo(j.w)
 }
 
-// logServed tells which targets served a request, and by which prediction.
+// logServed logs which targets served a request and the prediction behind the choice.
 func (j *job) logServed() {
 	j.f.Logger.Info("request served",
 		zap.String("RequestID", string(j.call.ID)), zap.String("Route", string(j.route.ID)), zap.Duration("After", time.Since(j.start)),
 		zap.String("PromptTarget", string(j.trace.promptTarget)), zap.Duration("Predicted", j.trace.predicted),
-		zap.Int64("FreshTokens", int64(j.trace.fresh)), zap.Duration("PromptTook", j.trace.promptTook),
+		zap.Int64("FreshTokens", int64(j.trace.uncached)), zap.Duration("PromptTook", j.trace.prefillTook),
 		zap.String("AnswerTarget", string(j.trace.answerTarget)), zap.Duration("FirstEvent", j.trace.firstEvent),
-		zap.Int("Status", j.status), zap.Int("Sends", j.sends))
+		zap.Int("Status", j.status), zap.Int("Sends", j.attempts))
 }
 
-func (j *job) log(message string, r *Refusal) {
+func (j *job) logRefusal(message string, r *Refusal) {
 	route := identifier.RouteID("")
 	if j.route != nil {
 		route = j.route.ID
@@ -166,37 +168,38 @@
 	j.f.Logger.Info(message,
 		zap.String("RequestID", string(j.call.ID)), zap.String("Route", string(route)),
 		zap.String("Reason", r.Reason), zap.Int("Status", r.Status), zap.Duration("After", time.Since(j.start)),
-		zap.Int("Sends", j.sends), zap.Duration("Deadline", j.call.Deadline), zap.Error(r.Err))
+		zap.Int("Sends", j.attempts), zap.Duration("Deadline", j.call.Deadline), zap.Error(r.Err))
 }
 
-// admit finds route, team and deadline.
+// admit determines the route, team and deadline of a request.
 func (j *job) admit() *Refusal {
 	table := j.f.Table()
 	if table == nil {
-		return notRun("NoConfiguration", comeBack, nil)
+		return refuseNotRun("NoConfiguration", minimumRetryAfter, nil)
 	}
 	j.route = table.Route(j.call.Host, j.call.Path)
 	if j.route == nil {
-		return j.unknown(http.StatusNotFound, "UnknownRoute")
+		return j.refuseUnknown(http.StatusNotFound, "UnknownRoute")
 	}
 	if table.RequiresKey() && !j.route.Public {
 		if j.team = table.Team(j.call.Key); j.team == nil {
-			return j.unknown(http.StatusUnauthorized, "UnknownKey")
+			return j.refuseUnknown(http.StatusUnauthorized, "UnknownKey")
 		}
 	}
-	j.due = j.start.Add(j.route.Timeout)
-	if d := j.start.Add(j.call.Deadline); j.call.Deadline > 0 && d.Before(j.due) {
-		j.due = d
+	j.deadline = j.start.Add(j.route.Timeout)
+	if d := j.start.Add(j.call.Deadline); j.call.Deadline > 0 && d.Before(j.deadline) {
+		j.deadline = d
 	}
-	j.target = j.route.PickService(rand.Float64())
-	j.f.Budget.AddRequest(j.target)
+	j.service = j.route.PickService(rand.Float64())
+	j.f.Budget.AddRequest(j.service)
 	return nil
 }
 
-// unknown refuses for good what the configuration does not hold, unless a newer one may hold it.
-func (j *job) unknown(status int, reason string) *Refusal {
-	if j.f.TableAge() > staleConfiguration {
-		return notRun(reason+"Yet", comeBack, nil)
+// refuseUnknown refuses a request whose route or key is not in the configuration. If the configuration is stale, a newer
+// one may have it, and the client is asked to retry.
+func (j *job) refuseUnknown(status int, reason string) *Refusal {
+	if j.f.TableAge() > staleConfigurationAge {
+		return refuseNotRun(reason+"Yet", minimumRetryAfter, nil)
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
@@ -208,76 +211,77 @@
 	return j.team.ID
 }
 
-// send describes a send to a target; events go on after lastEvent.
-func (j *job) send(t *registrar.Target, source *CacheHandle, lastEvent string) *Attempt {
-	freshness := onceFreshness
+// attempt describes an attempt on a target; a stream resumes after lastEvent.
+func (j *job) attempt(t *registrar.Target, source *CacheHandle, lastEvent string) *Attempt {
+	freshness := unrepeatableFreshness
 	if j.route.Repeatable() {
-		freshness = keptFreshness
+		freshness = repeatableFreshness
 	}
 	return &Attempt{
-		Target: t, Team: j.teamID(), Remaining: time.Until(j.due), Rank: matcher.EffectivePriority(j.route, j.team),
-		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connections(),
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), Rank: matcher.EffectivePriority(j.route, j.team),
+		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connectionShare(),
 	}
 }
 
-// connections is this instance's share of the connections that a target takes from all instances.
-func (j *job) connections() int {
-	s := j.f.Table().Service(j.target)
+// connectionShare returns this instance's share of a target's connection limit; zero means no limit.
+func (j *job) connectionShare() int {
+	s := j.f.Table().Service(j.service)
 	if s == nil || s.ConnectionLimit <= 0 {
 		return 0
 	}
-	return max(fewestConnections, s.ConnectionLimit/max(1, j.f.Instances()))
+	return max(minimumConnections, s.ConnectionLimit/max(1, j.f.Instances()))
 }
 
-// candidates are the targets of the given stages that have not failed this request.
+// candidates returns the targets of the given stages that have not failed in this request.
 func (j *job) candidates(parts []chooser.Part, stages ...registrar.Stage) []chooser.Candidate {
-	targets := j.f.Targets(j.target, time.Now())
+	targets := j.f.Targets(j.service, time.Now())
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
-		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failed, t.ID)
+		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failedTargets, t.ID)
 	})
 	return j.f.States.Candidates(targets, parts, time.Now())
 }
 
-// answerTarget chooses the target that answers: one for answers, or any where targets have no stages.
-func (j *job) answerTarget() (chooser.Choice, bool) {
+// chooseAnswerTarget chooses among the targets for answers and those without a stage.
+func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
 	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
 	if j.route.HasPrompts {
-		return j.f.Chooser.Answer(j.f.Zone, j.draw(), list)
+		return j.f.Chooser.Answer(j.f.Zone, j.jitter(), list)
 	}
-	return j.f.Chooser.Plain(j.f.Zone, plainWork, list)
+	return j.f.Chooser.Plain(j.f.Zone, plainServiceTime, list)
 }
 
-// mayRepeat tells whether one more send is allowed, and takes it from the budget.
-func (j *job) mayRepeat() bool {
-	return j.call.Body.Whole() && j.sends < j.route.Attempts && time.Until(j.due) > minimumLeft && j.f.Budget.TakeRetry(j.target)
+// takeRetry reports whether another attempt is allowed and, if so, takes it from the retry budget.
+func (j *job) takeRetry() bool {
+	return j.call.Body.Whole() && j.attempts < j.route.Attempts &&
+		time.Until(j.deadline) > minimumRemaining && j.f.Budget.TakeRetry(j.service)
 }
 
-// begin counts the request as running, once.
-func (j *job) begin() {
-	if !j.began {
-		j.began = true
+// markStarted counts the request as started; only the first call has an effect.
+func (j *job) markStarted() {
+	if !j.started {
+		j.started = true
 		j.trace.firstEvent = time.Since(j.start)
 		j.f.Metrics.Timer("FirstEvent").Record(j.trace.firstEvent)
 		j.f.CountRequest(j.teamID())
 	}
 }
 
-// Refusal is a final answer that is not a target's.
+// Refusal is a final answer that this instance gives itself.
 type Refusal struct {
 	Status int
 	Reason string
-	// RetryAfter is when the client may come back; zero: not said.
+	// RetryAfter is the time after which the client may retry; zero sends no Retry-After header.
 	RetryAfter time.Duration
 	Err        error
 }
 
-// notRun refuses a request that has not run and never will.
-func notRun(reason string, back time.Duration, err error) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: back, Err: err}
+// refuseNotRun refuses a request that has not run and never will.
+func refuseNotRun(reason string, retryAfter time.Duration, err error) *Refusal {
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter, Err: err}
 }
 
-// open gives up a request that may have run.
-func open(ctx context.Context, reason string, err error) *Refusal {
+// refuseOutcomeUnknown fails a request that may have run.
+func refuseOutcomeUnknown(ctx context.Context, reason string, err error) *Refusal {
 	status := http.StatusBadGateway
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		status, reason = http.StatusGatewayTimeout, "Timeout"
@@ -285,18 +289,18 @@
 	return &Refusal{Status: status, Reason: reason, Err: err}
 }
 
-// promisesNotRun tells whether the status tells the client that the request has not run and never will.
-func (r *Refusal) promisesNotRun() bool {
+// impliesNotRun reports whether the status means to the client that the request has not run and never will.
+func (r *Refusal) impliesNotRun() bool {
 	return r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
 }
 
-func (r *Refusal) write(w http.ResponseWriter) {
+func (r *Refusal) writeTo(w http.ResponseWriter) {
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	w.WriteHeader(r.Status)
 	if _, err := w.Write([]byte(r.Reason + "\n")); err != nil {
-		return // The client is gone; its leaving is logged where it is noticed.
+		return // The client has disconnected; this is logged where it is detected.
 	}
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -23,13 +23,13 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// step is what a target does with one send.
+// step is the scripted result of one attempt.
 type step struct {
 	status int
 	body   string
 	err    error
-	// torn ends the body with an error.
-	torn bool
+	// truncated ends the body with an error.
+	truncated bool
 }
 
 var (
@@ -38,36 +38,36 @@
 	broken  = step{err: fmt.Errorf("%w: reset", forwarder.ErrOutcomeUnknown)}
 )
 
-// backend plays scripted steps, one for each send.
+// backend returns scripted results, one for each attempt.
 type backend struct {
-	runs, reads []step
-	sent        []forwarder.Attempt
-	prompts     int
-	freed       int
+	runs, prefills []step
+	attempts       []forwarder.Attempt
+	prefillCalls   int
+	freed          int
 }
 
-func (b *backend) Run(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.Response, error) {
-	b.sent = append(b.sent, *s)
-	st := b.runs[min(len(b.sent), len(b.runs))-1]
+func (b *backend) Run(_ context.Context, _ *forwarder.Call, a *forwarder.Attempt) (*forwarder.Response, error) {
+	b.attempts = append(b.attempts, *a)
+	st := b.runs[min(len(b.attempts), len(b.runs))-1]
 	if st.err != nil {
 		return nil, st.err
 	}
 	var body io.Reader = strings.NewReader(st.body)
-	if st.torn {
+	if st.truncated {
 		body = io.MultiReader(body, errorReader{})
 	}
-	h := http.Header{"X-Test-Seal": {string(s.Target.ID)}}
+	h := http.Header{"X-Test-Seal": {string(a.Target.ID)}}
 	return &forwarder.Response{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, s *forwarder.Attempt) (*forwarder.CacheHandle, error) {
-	b.prompts++
-	if len(b.reads) > 0 {
-		if err := b.reads[min(b.prompts, len(b.reads))-1].err; err != nil {
+func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, a *forwarder.Attempt) (*forwarder.CacheHandle, error) {
+	b.prefillCalls++
+	if len(b.prefills) > 0 {
+		if err := b.prefills[min(b.prefillCalls, len(b.prefills))-1].err; err != nil {
 			return nil, err
 		}
 	}
-	return &forwarder.CacheHandle{Target: s.Target, ID: "h"}, nil
+	return &forwarder.CacheHandle{Target: a.Target, ID: "h"}, nil
 }
 
 func (b *backend) Free(context.Context, *forwarder.CacheHandle) error { b.freed++; return nil }
@@ -88,14 +88,15 @@
 	third  = "id: 3\ndata: c\n\n"
 )
 
-type outcome struct {
+type result struct {
 	*httptest.ResponseRecorder
 	aborted bool
-	began   int
+	started int
 }
 
-// serve sends one call of a route's kind through a forwarder with two prompt targets, two answer targets and two plain ones.
-func serve(b *backend, route matcher.Route, call *forwarder.Call, retries int) (out outcome) {
+// serve handles one call with a forwarder that has two prompt targets and two answer targets, or two plain targets if
+// the route is not prompted.
+func serve(b *backend, route matcher.Route, call *forwarder.Call, retries int) (res result) {
 	route.Host, route.Prefix, route.Timeout = "h", "/p/", 5*time.Second
 	if route.Attempts == 0 {
 		route.Attempts = 2
@@ -123,135 +124,136 @@
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
 			return 2 * time.Second, true
 		},
-		CountRequest: func(identifier.TeamID) { out.began++ },
+		CountRequest: func(identifier.TeamID) { res.started++ },
 		Logger:       zap.NewNop(), Metrics: tally.NoopScope,
 	}
 	if call.Host == "" {
 		call.Host, call.Path, call.Key = "h", "/p/x", "key"
 	}
-	out.ResponseRecorder = httptest.NewRecorder()
+	res.ResponseRecorder = httptest.NewRecorder()
 	defer func() {
 		if r := recover(); r != nil {
 			if err, ok := r.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				panic(r)
 			}
-			out.aborted = true
+			res.aborted = true
 		}
 	}()
-	f.Serve(context.Background(), out, call)
-	return out
+	f.Serve(context.Background(), res, call)
+	return res
 }
 
 func TestPlain(t *testing.T) {
 	done := step{status: 200, body: "ok"}
 	failed := step{status: 500, body: "bad"}
 	for name, tc := range map[string]struct {
-		kind   matcher.Kind
-		runs   []step
-		status int
-		body   string
-		sends  int
-		began  int
+		kind     matcher.Kind
+		runs     []step
+		status   int
+		body     string
+		attempts int
+		started  int
 	}{
-		"safe, first answer stands":                     {matcher.Safe, []step{done}, 200, "ok", 1, 1},
-		"safe, another target mends a failure":          {matcher.Safe, []step{failed, done}, 200, "ok", 2, 1},
-		"safe, attempts end":                            {matcher.Safe, []step{failed, failed, done}, 500, "bad", 2, 1},
-		"safe, broken connection":                       {matcher.Safe, []step{broken, done}, 200, "ok", 2, 1},
-		"safe, torn body":                               {matcher.Safe, []step{{status: 200, body: "o", torn: true}, done}, 200, "ok", 2, 1},
-		"unsafe, a failure of the target is passed on":  {matcher.Unsafe, []step{failed, done}, 500, "bad", 1, 1},
-		"unsafe, never again after a broken connection": {matcher.Unsafe, []step{broken, done}, 502, "TargetFailed\n", 1, 1},
-		"unsafe, never again after a torn body":         {matcher.Unsafe, []step{{status: 200, body: "o", torn: true}, done}, 502, "TargetFailed\n", 1, 1},
-		"unsafe, again where it has not run":            {matcher.Unsafe, []step{notRun, done}, 200, "ok", 2, 1},
-		"unsafe, the first target cannot be reached":    {matcher.Unsafe, []step{notSent, done}, 200, "ok", 2, 1},
-		"refused by all":                                {matcher.Unsafe, []step{notRun, notRun}, 503, "TargetsFull\n", 2, 0},
+		"safe, first response is final":              {matcher.Safe, []step{done}, 200, "ok", 1, 1},
+		"safe, failure retried on another target":    {matcher.Safe, []step{failed, done}, 200, "ok", 2, 1},
+		"safe, attempts exhausted":                   {matcher.Safe, []step{failed, failed, done}, 500, "bad", 2, 1},
+		"safe, broken connection":                    {matcher.Safe, []step{broken, done}, 200, "ok", 2, 1},
+		"safe, truncated body":                       {matcher.Safe, []step{{status: 200, body: "o", truncated: true}, done}, 200, "ok", 2, 1},
+		"unsafe, a failure of the target is relayed": {matcher.Unsafe, []step{failed, done}, 500, "bad", 1, 1},
+		"unsafe, no retry after a broken connection": {matcher.Unsafe, []step{broken, done}, 502, "TargetFailed\n", 1, 1},
+		"unsafe, no retry after a truncated body":    {matcher.Unsafe, []step{{status: 200, body: "o", truncated: true}, done}, 502, "TargetFailed\n", 1, 1},
+		"unsafe, retried if it has not run":          {matcher.Unsafe, []step{notRun, done}, 200, "ok", 2, 1},
+		"unsafe, the first target cannot be reached": {matcher.Unsafe, []step{notSent, done}, 200, "ok", 2, 1},
+		"refused by all":                             {matcher.Unsafe, []step{notRun, notRun}, 503, "TargetsFull\n", 2, 0},
 	} {
 		b := &backend{runs: tc.runs}
-		out := serve(b, matcher.Route{Kind: tc.kind}, &forwarder.Call{}, 5)
-		quicktest.Check(t, out.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
-		quicktest.Check(t, out.Body.String(), quicktest.Equals, tc.body, quicktest.Commentf(name))
-		quicktest.Check(t, b.sent, quicktest.HasLen, tc.sends, quicktest.Commentf(name))
-		quicktest.Check(t, out.began, quicktest.Equals, tc.began, quicktest.Commentf("%s: counted", name))
-		quicktest.Check(t, out.Code != 503 || out.Header().Get("Retry-After") != "", quicktest.IsTrue, quicktest.Commentf("%s: no time to come back", name))
+		res := serve(b, matcher.Route{Kind: tc.kind}, &forwarder.Call{}, 5)
+		quicktest.Check(t, res.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
+		quicktest.Check(t, res.Body.String(), quicktest.Equals, tc.body, quicktest.Commentf(name))
+		quicktest.Check(t, b.attempts, quicktest.HasLen, tc.attempts, quicktest.Commentf(name))
+		quicktest.Check(t, res.started, quicktest.Equals, tc.started, quicktest.Commentf("%s: started", name))
+		quicktest.Check(t, res.Code != 503 || res.Header().Get("Retry-After") != "", quicktest.IsTrue, quicktest.Commentf("%s: no Retry-After header", name))
 	}
 	b := &backend{runs: []step{failed, done}}
 	quicktest.Check(t, serve(b, matcher.Route{Kind: matcher.Safe}, &forwarder.Call{}, 0).Code, quicktest.Equals, 500, quicktest.Commentf("no budget, no retry"))
 }
 
 func TestPrompted(t *testing.T) {
-	whole := step{status: 200, body: first + second + third}
-	half := step{status: 200, body: first + "id: 2\nda", torn: true}
+	complete := step{status: 200, body: first + second + third}
+	partial := step{status: 200, body: first + "id: 2\nda", truncated: true}
 	rest := step{status: 200, body: second + third}
 	for name, tc := range map[string]struct {
-		resumable bool
-		attempts  int
-		reads     []step
-		runs      []step
-		budget    int
-		status    int
-		body      string
-		aborted   bool
-		prompts   int
-		sends     int
+		resumable    bool
+		attempts     int
+		prefills     []step
+		runs         []step
+		budget       int
+		status       int
+		body         string
+		aborted      bool
+		prefillCalls int
+		attemptCalls int
 	}{
-		"whole stream":                           {false, 1, nil, []step{whole}, 0, 200, first + second + third, false, 1, 1},
-		"resumed after a cut inside an event":    {true, 2, nil, []step{half, rest}, 5, 200, first + second + third, false, 2, 2},
-		"not resumable: broken off":              {false, 2, nil, []step{half, rest}, 5, 200, first, true, 1, 1},
-		"an event comes twice":                   {true, 2, nil, []step{half, whole}, 5, 200, first, true, 2, 2},
-		"no budget to resume":                    {true, 2, nil, []step{half, rest}, 0, 200, first, true, 1, 1},
-		"prompt refused, another target reads":   {false, 1, []step{notRun, {}}, []step{whole}, 1, 200, first + second + third, false, 2, 1},
-		"prompt refused, no budget":              {false, 1, []step{notRun}, nil, 0, 503, "RetryBudgetSpent\n", false, 1, 0},
-		"prompt refused by all":                  {false, 1, []step{notRun}, nil, 9, 503, "", false, 2, 0},
-		"answer target full, one attempt":        {false, 1, nil, []step{notRun, whole}, 9, 503, "AnswerTargetFull\n", false, 1, 1},
-		"answer target full, two attempts":       {false, 2, nil, []step{notRun, whole}, 9, 200, first + second + third, false, 2, 2},
-		"answer target not reached, one attempt": {false, 1, nil, []step{notSent, whole}, 0, 200, first + second + third, false, 1, 2},
-		"prompt target not reached, no budget":   {false, 1, []step{notSent, {}}, []step{whole}, 0, 200, first + second + third, false, 2, 1},
-		"connection lost before the first event": {false, 2, nil, []step{broken, whole}, 9, 502, "StreamBroken\n", false, 1, 1},
-		"resumable: lost before the first event": {true, 2, nil, []step{broken, whole}, 9, 200, first + second + third, false, 2, 2},
-		"a target's own failure is passed on":    {false, 1, nil, []step{{status: 500, body: "bad"}}, 9, 500, "bad", false, 1, 1},
+		"whole stream":                            {false, 1, nil, []step{complete}, 0, 200, first + second + third, false, 1, 1},
+		"resumed after a break within an event":   {true, 2, nil, []step{partial, rest}, 5, 200, first + second + third, false, 2, 2},
+		"not resumable: broken off":               {false, 2, nil, []step{partial, rest}, 5, 200, first, true, 1, 1},
+		"duplicate event":                         {true, 2, nil, []step{partial, complete}, 5, 200, first, true, 2, 2},
+		"no budget to resume":                     {true, 2, nil, []step{partial, rest}, 0, 200, first, true, 1, 1},
+		"prompt refused, another target prefills": {false, 1, []step{notRun, {}}, []step{complete}, 1, 200, first + second + third, false, 2, 1},
+		"prompt refused, no budget":               {false, 1, []step{notRun}, nil, 0, 503, "RetryBudgetSpent\n", false, 1, 0},
+		"prompt refused by all":                   {false, 1, []step{notRun}, nil, 9, 503, "", false, 2, 0},
+		"answer target full, one attempt":         {false, 1, nil, []step{notRun, complete}, 9, 503, "AnswerTargetFull\n", false, 1, 1},
+		"answer target full, two attempts":        {false, 2, nil, []step{notRun, complete}, 9, 200, first + second + third, false, 2, 2},
+		"answer target not reached, one attempt":  {false, 1, nil, []step{notSent, complete}, 0, 200, first + second + third, false, 1, 2},
+		"prompt target not reached, no budget":    {false, 1, []step{notSent, {}}, []step{complete}, 0, 200, first + second + third, false, 2, 1},
+		"connection lost before the first event":  {false, 2, nil, []step{broken, complete}, 9, 502, "StreamBroken\n", false, 1, 1},
+		"resumable: lost before the first event":  {true, 2, nil, []step{broken, complete}, 9, 200, first + second + third, false, 2, 2},
+		"a target's failure is relayed":           {false, 1, nil, []step{{status: 500, body: "bad"}}, 9, 500, "bad", false, 1, 1},
 	} {
-		b := &backend{runs: tc.runs, reads: tc.reads}
+		b := &backend{runs: tc.runs, prefills: tc.prefills}
 		route := matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: tc.resumable, Attempts: tc.attempts}
-		out := serve(b, route, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 100}}}, tc.budget)
-		quicktest.Check(t, out.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
+		res := serve(b, route, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 100}}}, tc.budget)
+		quicktest.Check(t, res.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
 		if tc.body != "" {
-			quicktest.Check(t, out.Body.String(), quicktest.Equals, tc.body, quicktest.Commentf(name))
+			quicktest.Check(t, res.Body.String(), quicktest.Equals, tc.body, quicktest.Commentf(name))
 		}
-		quicktest.Check(t, out.aborted, quicktest.Equals, tc.aborted, quicktest.Commentf("%s: aborted", name))
-		quicktest.Check(t, b.prompts, quicktest.Equals, tc.prompts, quicktest.Commentf("%s: prompts read", name))
-		quicktest.Check(t, b.sent, quicktest.HasLen, tc.sends, quicktest.Commentf("%s: sends", name))
+		quicktest.Check(t, res.aborted, quicktest.Equals, tc.aborted, quicktest.Commentf("%s: aborted", name))
+		quicktest.Check(t, b.prefillCalls, quicktest.Equals, tc.prefillCalls, quicktest.Commentf("%s: prefills", name))
+		quicktest.Check(t, b.attempts, quicktest.HasLen, tc.attemptCalls, quicktest.Commentf("%s: attempts", name))
 	}
 }
 
-func TestResumptionKeepsTheFirstHead(t *testing.T) {
-	b := &backend{runs: []step{{status: 200, body: first, torn: true}, {status: 200, body: second}}}
-	out := serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: true}, &forwarder.Call{}, 5)
-	quicktest.Assert(t, out.Header().Get("X-Test-Seal"), quicktest.Equals, string(b.sent[0].Target.ID))
-	quicktest.Assert(t, b.sent[1].LastEvent, quicktest.Equals, "1")
-	quicktest.Assert(t, b.sent[1].Target.ID == b.sent[0].Target.ID, quicktest.IsFalse)
+func TestResumptionKeepsTheFirstHeader(t *testing.T) {
+	b := &backend{runs: []step{{status: 200, body: first, truncated: true}, {status: 200, body: second}}}
+	res := serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: true}, &forwarder.Call{}, 5)
+	quicktest.Assert(t, res.Header().Get("X-Test-Seal"), quicktest.Equals, string(b.attempts[0].Target.ID))
+	quicktest.Assert(t, b.attempts[1].LastEvent, quicktest.Equals, "1")
+	quicktest.Assert(t, b.attempts[1].Target.ID == b.attempts[0].Target.ID, quicktest.IsFalse)
 }
 
-// TestReturnWhenATargetIsExpected answers the seconds in which all targets for answers were lost and others are changing.
-func TestReturnWhenATargetIsExpected(t *testing.T) {
-	out := serve(&backend{}, matcher.Route{ID: "changing", Kind: matcher.Stream, HasPrompts: true}, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 10}}}, 0)
-	quicktest.Assert(t, out.Code, quicktest.Equals, http.StatusServiceUnavailable)
-	back, err := strconv.ParseFloat(out.Header().Get("Retry-After"), 64)
+// TestRetryAfterWhenATargetIsExpected covers the time after the loss of all answer targets, while others change their
+// stage: clients must be told to retry when the first one is expected to be ready.
+func TestRetryAfterWhenATargetIsExpected(t *testing.T) {
+	res := serve(&backend{}, matcher.Route{ID: "changing", Kind: matcher.Stream, HasPrompts: true}, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 10}}}, 0)
+	quicktest.Assert(t, res.Code, quicktest.Equals, http.StatusServiceUnavailable)
+	retryAfter, err := strconv.ParseFloat(res.Header().Get("Retry-After"), 64)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Assert(t, back >= 2 && back < 2.5, quicktest.IsTrue, quicktest.Commentf("Retry-After %v", back))
+	quicktest.Assert(t, retryAfter >= 2 && retryAfter < 2.5, quicktest.IsTrue, quicktest.Commentf("Retry-After %v", retryAfter))
 }
 
 func TestStreamsOfPlainTargets(t *testing.T) {
 	b := &backend{runs: []step{{status: 200, body: first + second}}}
-	out := serve(b, matcher.Route{Kind: matcher.Stream}, &forwarder.Call{}, 0)
-	quicktest.Check(t, out.Body.String(), quicktest.Equals, first+second)
-	quicktest.Check(t, out.Flushed, quicktest.IsTrue, quicktest.Commentf("events go on as they come"))
-	quicktest.Check(t, b.prompts, quicktest.Equals, 0)
-	out = serve(&backend{runs: []step{{status: 200, body: first + "id: 2\n"}}}, matcher.Route{Kind: matcher.Stream}, &forwarder.Call{}, 0)
-	quicktest.Check(t, out.aborted, quicktest.IsTrue)
-	// A prompt whose answer does not come as events goes to the targets for answers.
+	res := serve(b, matcher.Route{Kind: matcher.Stream}, &forwarder.Call{}, 0)
+	quicktest.Check(t, res.Body.String(), quicktest.Equals, first+second)
+	quicktest.Check(t, res.Flushed, quicktest.IsTrue, quicktest.Commentf("events are relayed as they arrive"))
+	quicktest.Check(t, b.prefillCalls, quicktest.Equals, 0)
+	res = serve(&backend{runs: []step{{status: 200, body: first + "id: 2\n"}}}, matcher.Route{Kind: matcher.Stream}, &forwarder.Call{}, 0)
+	quicktest.Check(t, res.aborted, quicktest.IsTrue)
+	// A prompt whose answer is not streamed is sent to an answer target.
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
-	out = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
-	quicktest.Check(t, out.Body.String(), quicktest.Equals, "ok")
-	quicktest.Check(t, b.sent[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
+	res = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
+	quicktest.Check(t, res.Body.String(), quicktest.Equals, "ok")
+	quicktest.Check(t, b.attempts[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
 }
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
@@ -259,43 +261,43 @@
 		return &forwarder.Call{Body: forwarder.Body{Buffered: []byte("start"), Rest: strings.NewReader("rest"), RestBytes: 4}, Parts: []chooser.Part{{ID: 1, Tokens: 10}}}
 	}
 	b := &backend{runs: []step{notRun, {status: 200, body: "ok"}}}
-	out := serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
-	quicktest.Check(t, out.Code, quicktest.Equals, http.StatusServiceUnavailable)
-	quicktest.Check(t, b.sent, quicktest.HasLen, 1)
+	res := serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
+	quicktest.Check(t, res.Code, quicktest.Equals, http.StatusServiceUnavailable)
+	quicktest.Check(t, b.attempts, quicktest.HasLen, 1)
 	b = &backend{runs: []step{broken, {status: 200, body: "ok"}}}
-	out = serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
-	quicktest.Check(t, out.Code, quicktest.Equals, http.StatusBadGateway)
-	quicktest.Check(t, b.sent, quicktest.HasLen, 1)
+	res = serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
+	quicktest.Check(t, res.Code, quicktest.Equals, http.StatusBadGateway)
+	quicktest.Check(t, b.attempts, quicktest.HasLen, 1)
 	b = &backend{runs: []step{notSent, {status: 200, body: first}}}
-	out = serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true}, long(), 5)
-	quicktest.Check(t, out.Body.String(), quicktest.Equals, first)
-	quicktest.Check(t, b.prompts, quicktest.Equals, 0, quicktest.Commentf("the body goes to one target only"))
+	res = serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true}, long(), 5)
+	quicktest.Check(t, res.Body.String(), quicktest.Equals, first)
+	quicktest.Check(t, b.prefillCalls, quicktest.Equals, 0, quicktest.Commentf("the body can be sent only once"))
 }
 
 func TestLongAnswers(t *testing.T) {
 	text := strings.Repeat("0123456789abcdef", 40_000)
-	out := serve(&backend{runs: []step{{status: 200, body: text}}}, matcher.Route{}, &forwarder.Call{}, 0)
-	quicktest.Check(t, out.Body.String() == text, quicktest.IsTrue)
-	out = serve(&backend{runs: []step{{status: 200, body: text, torn: true}}}, matcher.Route{}, &forwarder.Call{}, 0)
-	quicktest.Check(t, out.aborted, quicktest.IsTrue, quicktest.Commentf("a broken answer must not look whole"))
-	b := &backend{runs: []step{{status: 200, body: "short", torn: true}, {status: 200, body: "ok"}}}
-	out = serve(b, matcher.Route{Kind: matcher.Safe}, &forwarder.Call{}, 5)
-	quicktest.Check(t, out.Body.String(), quicktest.Equals, "ok", quicktest.Commentf("a short one is mended"))
+	res := serve(&backend{runs: []step{{status: 200, body: text}}}, matcher.Route{}, &forwarder.Call{}, 0)
+	quicktest.Check(t, res.Body.String() == text, quicktest.IsTrue)
+	res = serve(&backend{runs: []step{{status: 200, body: text, truncated: true}}}, matcher.Route{}, &forwarder.Call{}, 0)
+	quicktest.Check(t, res.aborted, quicktest.IsTrue, quicktest.Commentf("a truncated response must not look complete"))
+	b := &backend{runs: []step{{status: 200, body: "short", truncated: true}, {status: 200, body: "ok"}}}
+	res = serve(b, matcher.Route{Kind: matcher.Safe}, &forwarder.Call{}, 5)
+	quicktest.Check(t, res.Body.String(), quicktest.Equals, "ok", quicktest.Commentf("a truncated short response is retried"))
 }
 
-func TestBodiesAreBounded(t *testing.T) {
+func TestBodyBuffersAreBounded(t *testing.T) {
 	bodies := &forwarder.BodyBuffers{MaximumBytes: 1 << 20}
-	whole, release, err := bodies.Read(strings.NewReader("text"), 4)
+	short, release, err := bodies.Read(strings.NewReader("text"), 4)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, whole.Whole() && string(whole.Buffered) == "text", quicktest.IsTrue)
+	quicktest.Check(t, short.Whole() && string(short.Buffered) == "text", quicktest.IsTrue)
 	release()
-	var short []func()
+	var releases []func()
 	for range 100 {
 		_, release, err := bodies.Read(strings.NewReader("text"), -1)
-		quicktest.Assert(t, err, quicktest.IsNil, quicktest.Commentf("short bodies in chunks take up what they hold"))
-		short = append(short, release)
+		quicktest.Assert(t, err, quicktest.IsNil, quicktest.Commentf("a short body of unknown length reserves only its size"))
+		releases = append(releases, release)
 	}
-	for _, release := range short {
+	for _, release := range releases {
 		release()
 	}
 	text := strings.Repeat("x", 600<<10)
@@ -315,7 +317,7 @@
 func TestConnectionsOfATargetAreShared(t *testing.T) {
 	b := &backend{runs: []step{{status: 200, body: "ok"}}}
 	serve(b, matcher.Route{}, &forwarder.Call{}, 0)
-	quicktest.Assert(t, b.sent[0].Connections, quicktest.Equals, 22, quicktest.Commentf("a fifth of 110"))
+	quicktest.Assert(t, b.attempts[0].Connections, quicktest.Equals, 22, quicktest.Commentf("a fifth of 110"))
 }
 
 func TestAdmission(t *testing.T) {
@@ -329,21 +331,21 @@
 		"no key":         {forwarder.Call{Host: "h:80", Path: "/p/x"}, 401},
 	} {
 		b := &backend{runs: []step{{status: 200}}}
-		out := serve(b, matcher.Route{Kind: matcher.Safe}, &tc.call, 5)
-		quicktest.Check(t, out.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
-		quicktest.Check(t, b.sent, quicktest.HasLen, 0, quicktest.Commentf(name))
+		res := serve(b, matcher.Route{Kind: matcher.Safe}, &tc.call, 5)
+		quicktest.Check(t, res.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
+		quicktest.Check(t, b.attempts, quicktest.HasLen, 0, quicktest.Commentf(name))
 	}
 	public := serve(&backend{runs: []step{{status: 200, body: "ok"}}}, matcher.Route{Kind: matcher.Safe, Public: true}, &forwarder.Call{Host: "h", Path: "/p/x"}, 5)
 	quicktest.Check(t, public.Code, quicktest.Equals, 200)
 
-	// A service that has no targets, or that no configuration holds.
+	// A service that has no targets or is not in the configuration.
 	for _, kind := range []matcher.Kind{matcher.Unsafe, matcher.Safe, matcher.Stream} {
 		b := &backend{}
-		out := serve(b, matcher.Route{ID: "no service", Kind: kind}, &forwarder.Call{}, 5)
-		quicktest.Check(t, fmt.Sprint(out.Code, out.Body, len(b.sent)), quicktest.Equals, "503 NoTarget\n 0")
+		res := serve(b, matcher.Route{ID: "no service", Kind: kind}, &forwarder.Call{}, 5)
+		quicktest.Check(t, fmt.Sprint(res.Code, res.Body, len(b.attempts)), quicktest.Equals, "503 NoTarget\n 0")
 	}
 
-	// Before the first configuration, and while a newer one may hold what is asked for, nothing is refused for good.
+	// Before the first configuration, and while a newer one may have the route, clients are asked to retry.
 	for _, table := range []*matcher.Table{nil, matcher.New(matcher.Configuration{})} {
 		f := &forwarder.Forwarder{
 			Table: func() *matcher.Table { return table }, TableAge: func() time.Duration { return time.Minute },
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -19,123 +19,124 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
 )
 
-// plain sends a request to targets of a plain service until one answer stands.
-func (j *job) plain(ctx context.Context) *Refusal {
+// servePlain tries targets of a plain service until one gives a final response.
+func (j *job) servePlain(ctx context.Context) *Refusal {
 	for {
-		v, ok := j.answerTarget()
+		choice, ok := j.chooseAnswerTarget()
 		if !ok {
-			return j.noTarget()
+			return j.refuseNoTarget()
 		}
-		reply, start, err := j.sendPlain(ctx, v.Target)
-		if err != nil || reply.Status >= http.StatusInternalServerError {
-			j.logFailedSend(v.Target, reply, err)
+		response, buffered, err := j.attemptPlain(ctx, choice.Target)
+		if err != nil || response.Status >= http.StatusInternalServerError {
+			j.logFailedAttempt(choice.Target, response, err)
 		}
 		switch {
-		case err == nil && !j.repeatable(reply):
-			j.f.States.Succeeded(v.Target.ID, time.Now())
-			return j.write(ctx, reply, start)
-		case err == nil && !j.mayRepeat():
-			return j.write(ctx, reply, start)
+		case err == nil && !j.retryableFailure(response):
+			j.f.States.Succeeded(choice.Target.ID, time.Now())
+			return j.writeResponse(ctx, response, buffered)
+		case err == nil && !j.takeRetry():
+			return j.writeResponse(ctx, response, buffered)
 		case err == nil:
-			reply.Body.Close()
+			response.Body.Close()
 		case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		case errors.Is(err, ErrNotRun):
-			if !j.mayRepeat() {
-				return notRun("TargetsFull", comeBack, err)
+			if !j.takeRetry() {
+				return refuseNotRun("TargetsFull", minimumRetryAfter, err)
 			}
-		case j.route.Kind != matcher.Safe || ctx.Err() != nil || !j.mayRepeat():
-			return open(ctx, "TargetFailed", err)
+		case j.route.Kind != matcher.Safe || ctx.Err() != nil || !j.takeRetry():
+			return refuseOutcomeUnknown(ctx, "TargetFailed", err)
 		}
-		j.f.States.Failed(v.Target.ID, time.Now())
-		j.failed = append(j.failed, v.Target.ID)
+		j.f.States.Failed(choice.Target.ID, time.Now())
+		j.failedTargets = append(j.failedTargets, choice.Target.ID)
 	}
 }
 
-// logFailedSend tells which target failed a send, with its status if it answered.
-func (j *job) logFailedSend(t *registrar.Target, reply *Response, err error) {
+// logFailedAttempt logs the target of a failed attempt, with its status if it responded.
+func (j *job) logFailedAttempt(t *registrar.Target, response *Response, err error) {
 	status := 0
-	if reply != nil {
-		status = reply.Status
+	if response != nil {
+		status = response.Status
 	}
 	j.f.Logger.Info("target failed", zap.String("RequestID", string(j.call.ID)), zap.String("Target", string(t.ID)),
-		zap.Int("Status", status), zap.Int("Sends", j.sends), zap.Duration("After", time.Since(j.start)), zap.Error(err))
+		zap.Int("Status", status), zap.Int("Sends", j.attempts), zap.Duration("After", time.Since(j.start)), zap.Error(err))
 }
 
-// noTarget refuses for want of a target that answers, truthfully if one was tried.
-func (j *job) noTarget() *Refusal {
-	if j.began {
+// refuseNoTarget refuses a request for which no target is left. If it was started, the refusal doesn't imply that it has
+// not run.
+func (j *job) refuseNoTarget() *Refusal {
+	if j.started {
 		return &Refusal{Status: http.StatusBadGateway, Reason: "TargetFailed"}
 	}
-	back := comeBack
-	if wait, expected := j.f.Expected(j.target, registrar.DecodeStage, time.Now()); expected {
-		back = wait + rand.N(returnSpread)
+	retryAfter := minimumRetryAfter
+	if wait, expected := j.f.Expected(j.service, registrar.DecodeStage, time.Now()); expected {
+		retryAfter = wait + rand.N(retryAfterJitter)
 	}
-	return notRun("NoTarget", back, nil)
+	return refuseNotRun("NoTarget", retryAfter, nil)
 }
 
-// repeatable tells a failure of the target that another target may mend.
-func (j *job) repeatable(r *Response) bool {
+// retryableFailure reports whether the response is a target failure that may be retried on another target.
+func (j *job) retryableFailure(r *Response) bool {
 	return j.route.Kind == matcher.Safe && r.Status >= http.StatusInternalServerError
 }
 
-// account notes what a failed send means for the request: one that did not leave is no send, and one whose outcome is
-// open counts as run.
-func (j *job) account(err error) {
+// countFailedAttempt updates the counts after a failed attempt: an attempt that was not sent doesn't count, and one with
+// an unknown outcome counts the request as started.
+func (j *job) countFailedAttempt(err error) {
 	switch {
 	case errors.Is(err, ErrNotSent):
-		j.sends--
+		j.attempts--
 	case !errors.Is(err, ErrNotRun):
-		j.begin()
+		j.markStarted()
 	}
 }
 
-// sendPlain sends once and reads the start of the answer, which is all of most answers: what breaks off there reaches no
-// client.
-func (j *job) sendPlain(ctx context.Context, t *registrar.Target) (*Response, []byte, error) {
+// attemptPlain makes one attempt and buffers the start of the response, which is all of it in most cases. If the response
+// breaks off there, the client receives none of it.
+func (j *job) attemptPlain(ctx context.Context, t *registrar.Target) (*Response, []byte, error) {
 	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
 	defer end()
-	j.sends++
+	j.attempts++
 	j.trace.answerTarget = t.ID
-	reply, err := j.f.Backend.Run(ctx, j.call, j.send(t, nil, j.call.LastEvent))
+	response, err := j.f.Backend.Run(ctx, j.call, j.attempt(t, nil, j.call.LastEvent))
 	if err != nil {
-		j.account(err)
+		j.countFailedAttempt(err)
 		return nil, nil, err
 	}
-	j.begin()
-	start, err := io.ReadAll(io.LimitReader(reply.Body, heldAnswerBytes))
+	j.markStarted()
+	buffered, err := io.ReadAll(io.LimitReader(response.Body, bufferedResponseBytes))
 	if err != nil {
-		reply.Body.Close()
+		response.Body.Close()
 		return nil, nil, fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
 	}
-	return reply, start, nil
+	return response, buffered, nil
 }
 
-// write sends a target's answer unchanged; the client's connection is closed if the answer breaks off.
-func (j *job) write(ctx context.Context, r *Response, start []byte) *Refusal {
+// writeResponse relays a target's response unchanged; the client's connection is closed if the response breaks off.
+func (j *job) writeResponse(ctx context.Context, r *Response, buffered []byte) *Refusal {
 	defer r.Body.Close()
-	if len(start) < heldAnswerBytes {
-		j.writeWhole(r, start)
+	if len(buffered) < bufferedResponseBytes {
+		j.writeBuffered(r, buffered)
 		return nil
 	}
-	j.wrote, j.status = true, r.Status
+	j.headerSent, j.status = true, r.Status
 	maps.Copy(j.w.Header(), r.Header)
 	if r.Length >= 0 {
 		j.w.Header().Set("Content-Length", strconv.FormatInt(r.Length, 10))
 	}
 	j.w.WriteHeader(r.Status)
-	if _, err := io.Copy(j.w, io.MultiReader(bytes.NewReader(start), r.Body)); err != nil {
-		return open(ctx, "AnswerBroken", err)
+	if _, err := io.Copy(j.w, io.MultiReader(bytes.NewReader(buffered), r.Body)); err != nil {
+		return refuseOutcomeUnknown(ctx, "AnswerBroken", err)
 	}
 	return nil
 }
 
-// writeWhole sends a target's whole answer unchanged.
-func (j *job) writeWhole(r *Response, body []byte) {
-	j.wrote, j.status = true, r.Status
+// writeBuffered relays a completely buffered response unchanged.
+func (j *job) writeBuffered(r *Response, body []byte) {
+	j.headerSent, j.status = true, r.Status
 	maps.Copy(j.w.Header(), r.Header)
 	j.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	j.w.WriteHeader(r.Status)
 	if _, err := j.w.Write(body); err != nil {
-		return // The client is gone.
+		return // The client has disconnected.
 	}
 }
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -17,13 +17,13 @@
 var (
 	// ErrNotRun is returned when the target has not run the request and never will.
 	ErrNotRun = errors.New("target did not run the request")
-	// ErrNotSent is returned when the target could not be reached; it is an ErrNotRun that no target has seen.
+	// ErrNotSent is returned when the target could not be reached; it wraps ErrNotRun.
 	ErrNotSent = fmt.Errorf("%w: not sent", ErrNotRun)
 	// ErrOutcomeUnknown is returned when the target may have run the request.
 	ErrOutcomeUnknown = errors.New("target may have run the request")
 )
 
-// Call is a client's request; Header holds only what may reach a target.
+// Call is a client's request; Header contains only the headers that may be forwarded to a target.
 type Call struct {
 	ID       identifier.RequestID
 	Method   string
@@ -34,52 +34,52 @@
 	Deadline time.Duration
 	Header   http.Header
 	Body     Body
-	// LastEvent is the id of the last event that the client has, or empty.
+	// LastEvent is the id of the last event that the client received, or empty.
 	LastEvent string
-	// Parts are the pieces of the prompt; AnswerTokens is the most that may be generated.
+	// Parts are the parts of the prompt; AnswerTokens is the maximum number of tokens to generate.
 	Parts        []chooser.Part
 	AnswerTokens identifier.Tokens
 }
 
-// CacheHandle names the KV cache of a prompt that a target holds for another one.
+// CacheHandle identifies the KV cache of a prompt that one target keeps for another target to fetch.
 type CacheHandle struct {
 	Target *registrar.Target
 	ID     string
 }
 
-// Attempt is what goes with a call to one target.
+// Attempt describes one attempt to run a call, on one target.
 type Attempt struct {
 	Target *registrar.Target
 	Team   identifier.TeamID
-	// Remaining is the time until the final answer is due.
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Rank is the urgency among the target's requests; 0 comes first.
+	// Rank is the priority in the target's queue; 0 is the highest.
 	Rank int
-	// Source is where the prompt's KV cache is, or nil.
+	// Source is the prompt's KV cache, or nil without prefill.
 	Source *CacheHandle
-	// LastEvent is the id of the event after which the answer goes on, or empty.
+	// LastEvent is the id of the event after which the stream resumes, or empty.
 	LastEvent string
-	// Connections is how many connections to the target this instance may open; zero: any number.
+	// Connections is the maximum number of connections from this instance to the target; zero means no limit.
 	Connections int
-	// Freshness is how long ago a kept connection may have been used; zero: a new connection.
+	// Freshness is the maximum idle time of a connection that may be reused; zero requires a new connection.
 	Freshness time.Duration
 }
 
-// Response is a target's answer; Body must be closed.
+// Response is a target's HTTP response; Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body; -1: not known.
+	// Length is the length of the body, or -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 }
 
-// Backend sends calls to targets, each exactly once.
+// Backend sends calls to targets. It never retries.
 type Backend interface {
-	// Run sends a call; errors wrap ErrNotRun or ErrOpen.
-	Run(ctx context.Context, c *Call, s *Attempt) (*Response, error)
-	// Prefill has the prompt computed; errors wrap ErrNotRun or ErrOpen.
-	Prefill(ctx context.Context, c *Call, s *Attempt) (*CacheHandle, error)
-	// Free gives a handle back that is not used.
+	// Run sends a call to a target; errors wrap ErrNotRun or ErrOutcomeUnknown.
+	Run(ctx context.Context, c *Call, a *Attempt) (*Response, error)
+	// Prefill computes the KV cache of the call's prompt on a target; errors wrap ErrNotRun or ErrOutcomeUnknown.
+	Prefill(ctx context.Context, c *Call, a *Attempt) (*CacheHandle, error)
+	// Free releases an unused handle.
 	Free(ctx context.Context, h *CacheHandle) error
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -12,46 +12,46 @@
 )
 
 const (
-	// eventBytes bounds one event.
-	eventBytes = 1 << 20
-	// eventBuffer is the read buffer of a stream.
-	eventBuffer = 4 << 10
+	// maximumEventBytes is the maximum size of one event.
+	maximumEventBytes = 1 << 20
+	// eventBufferBytes is the size of a stream's read buffer.
+	eventBufferBytes = 4 << 10
 )
 
-// stream relays the events of one or more targets as one answer: each event once, in order, only whole ones.
+// stream relays the events of one or more targets as one response: each event once, complete and in order.
 type stream struct {
 	job       *job
 	lastEvent string
-	last      int
+	lastID    int
 }
 
-// newStream starts after the last event that the client has.
+// newStream returns a stream that starts after the last event that the client received.
 func newStream(j *job) *stream {
 	s := &stream{job: j, lastEvent: j.call.LastEvent}
 	if id, err := strconv.Atoi(j.call.LastEvent); err == nil {
-		s.last = id
+		s.lastID = id
 	}
 	return s
 }
 
-// relay passes events on until the target's answer ends; a broken answer gives ErrOpen.
-func (s *stream) relay(reply *Response) error {
-	r := bufio.NewReaderSize(reply.Body, eventBuffer)
+// relay forwards events until the target's response ends; it returns ErrOutcomeUnknown if the response breaks off.
+func (s *stream) relay(response *Response) error {
+	r := bufio.NewReaderSize(response.Body, eventBufferBytes)
 	flusher := http.NewResponseController(s.job.w)
 	for {
 		event, err := readEvent(r)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			s.job.head(reply)
+			s.job.writeHeader(response)
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: event after %d: %w", ErrOutcomeUnknown, s.last, err)
+			return fmt.Errorf("%w: event after %d: %w", ErrOutcomeUnknown, s.lastID, err)
 		}
-		s.job.begin()
-		if err := s.accept(event); err != nil {
+		s.job.markStarted()
+		if err := s.advance(event); err != nil {
 			return err
 		}
-		s.job.head(reply)
+		s.job.writeHeader(response)
 		if _, err := s.job.w.Write(event); err != nil {
 			return fmt.Errorf("%w: client: %w", ErrOutcomeUnknown, err)
 		}
@@ -61,20 +61,20 @@
 	}
 }
 
-// accept checks that an event follows the one before.
-func (s *stream) accept(event []byte) error {
+// advance moves the stream's position to an event; it fails if the event does not follow the last one.
+func (s *stream) advance(event []byte) error {
 	id, ok := eventID(event)
 	if !ok {
 		return nil
 	}
-	if id <= s.last {
-		return fmt.Errorf("%w: event %d after %d", ErrOutcomeUnknown, id, s.last)
+	if id <= s.lastID {
+		return fmt.Errorf("%w: event %d after %d", ErrOutcomeUnknown, id, s.lastID)
 	}
-	s.last, s.lastEvent = id, strconv.Itoa(id)
+	s.lastID, s.lastEvent = id, strconv.Itoa(id)
 	return nil
 }
 
-// readEvent reads up to the empty line that ends an event; io.EOF comes without any bytes only between events.
+// readEvent reads one event up to and including its empty line. It returns io.EOF only between events, without any bytes.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -87,13 +87,13 @@
 			return event, err
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
 			return event, nil
-		case len(event) > eventBytes:
-			return event, fmt.Errorf("event of more than %d bytes", eventBytes)
+		case len(event) > maximumEventBytes:
+			return event, fmt.Errorf("event exceeds %d bytes", maximumEventBytes)
 		}
 	}
 }
 
-// eventID finds the id line of an event.
+// eventID returns the id of an event, or false without a numeric id.
 func eventID(event []byte) (int, bool) {
 	for _, line := range strings.Split(string(event), "\n") {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
