--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -44,15 +44,16 @@
 }
 
 type targetState struct {
-	ownLoad Load
-	// peerLoad is the sum of the loads that peers reported.
-	peerLoad     Load
-	parts        map[identifier.PartID]*partState
-	cachedTokens identifier.Tokens
-	failures     float64
-	failuresAt   time.Time
-	firstSeen    time.Time
-	startedAt    time.Time
+	// own is the work that this instance has in flight, and peers the sum of the loads that peers reported.
+	own   Load
+	peers Load
+	parts map[identifier.PartID]*partState
+	// tokens is the size of all parts.
+	tokens     identifier.Tokens
+	failures   float64
+	failuresAt time.Time
+	firstSeen  time.Time
+	startedAt  time.Time
 }
 
 // peerReport holds the loads of a peer's last report.
@@ -73,9 +74,9 @@
 	defer ts.mu.Unlock()
 	list := make([]Candidate, 0, len(targets))
 	for _, t := range targets {
-		s := ts.state(t.ID, now)
+		s := ts.targetState(t.ID, now)
 		if !t.StartedAt.Equal(s.startedAt) {
-			s.parts, s.cachedTokens, s.startedAt = nil, 0, t.StartedAt
+			s.parts, s.tokens, s.startedAt = nil, 0, t.StartedAt
 		}
 		list = append(list, Candidate{
 			Target: t, Load: s.load(), Cached: s.cached(parts), FailureScore: s.failureScore(now), Age: now.Sub(s.firstSeen),
@@ -94,14 +95,14 @@
 func (ts *TargetStates) add(id identifier.TargetID, work Load, sign int, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	ts.state(id, now).ownLoad.add(work, sign)
+	ts.targetState(id, now).own.add(work, sign)
 }
 
 // Prefilled records that a target now caches the parts of a prompt and queues them for the peers.
 func (ts *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	s := ts.state(id, now)
+	s := ts.targetState(id, now)
 	for _, part := range parts {
 		ts.record(s, CachedPart{Target: id, Part: part}, now)
 	}
@@ -123,7 +124,7 @@
 func (ts *TargetStates) AddReported(part CachedPart, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	ts.record(ts.state(part.Target, now), part, now)
+	ts.record(ts.targetState(part.Target, now), part, now)
 }
 
 // PartsSince returns the parts recorded since an offset, as far as they are still kept, and the next offset.
@@ -139,7 +140,7 @@
 func (ts *TargetStates) Failed(id identifier.TargetID, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	s := ts.state(id, now)
+	s := ts.targetState(id, now)
 	s.failures = s.failureScore(now) + 1
 	s.failuresAt = now
 }
@@ -148,7 +149,7 @@
 func (ts *TargetStates) Succeeded(id identifier.TargetID, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
-	s := ts.state(id, now)
+	s := ts.targetState(id, now)
 	s.failures = s.failureScore(now) / 2
 	s.failuresAt = now
 }
@@ -159,8 +160,8 @@
 	defer ts.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
 	for id, s := range ts.targets {
-		if s.ownLoad != (Load{}) {
-			own[id] = s.ownLoad
+		if s.own != (Load{}) {
+			own[id] = s.own
 		}
 	}
 	return own
@@ -176,7 +177,7 @@
 	}
 	ts.peers[peer] = peerReport{loads, now}
 	for id, load := range loads {
-		ts.state(id, now).peerLoad.add(load, 1)
+		ts.targetState(id, now).peers.add(load, 1)
 	}
 }
 
@@ -184,7 +185,7 @@
 func (ts *TargetStates) removePeer(peer string) {
 	for id, load := range ts.peers[peer].loads {
 		if s := ts.targets[id]; s != nil {
-			s.peerLoad.add(load, -1)
+			s.peers.add(load, -1)
 		}
 	}
 	delete(ts.peers, peer)
@@ -205,13 +206,13 @@
 		}
 	}
 	for id, s := range ts.targets {
-		if !keep[id] && s.ownLoad == (Load{}) && s.peerLoad == (Load{}) {
+		if !keep[id] && s.own == (Load{}) && s.peers == (Load{}) {
 			delete(ts.targets, id)
 		}
 	}
 }
 
-func (ts *TargetStates) state(id identifier.TargetID, now time.Time) *targetState {
+func (ts *TargetStates) targetState(id identifier.TargetID, now time.Time) *targetState {
 	if ts.targets == nil {
 		ts.targets = map[identifier.TargetID]*targetState{}
 	}
@@ -224,8 +225,8 @@
 }
 
 func (s *targetState) load() Load {
-	total := s.ownLoad
-	total.add(s.peerLoad, 1)
+	total := s.own
+	total.add(s.peers, 1)
 	return total
 }
 
@@ -239,11 +240,11 @@
 func (s *targetState) cached(parts []Part) identifier.Tokens {
 	total := identifier.Tokens(0)
 	for _, part := range parts {
-		cached := s.parts[part.ID]
-		if cached == nil {
+		entry := s.parts[part.ID]
+		if entry == nil {
 			break
 		}
-		total += min(cached.tokens, part.Tokens)
+		total += min(entry.tokens, part.Tokens)
 	}
 	return total
 }
@@ -254,17 +255,17 @@
 	if s.parts == nil {
 		s.parts = map[identifier.PartID]*partState{}
 	}
-	if cached := s.parts[part.ID]; cached != nil {
-		due := now.Sub(cached.reportedAt) > reportInterval
-		cached.usedAt = now
+	if entry := s.parts[part.ID]; entry != nil {
+		due := now.Sub(entry.reportedAt) > reportInterval
+		entry.usedAt = now
 		if due {
-			cached.reportedAt = now
+			entry.reportedAt = now
 		}
 		return due
 	}
 	s.parts[part.ID] = &partState{tokens: part.Tokens, usedAt: now, reportedAt: now}
-	s.cachedTokens += part.Tokens
-	for float64(s.cachedTokens) > cacheFraction*defaultCacheTokens && len(s.parts) > 1 {
+	s.tokens += part.Tokens
+	for float64(s.tokens) > cacheFraction*defaultCacheTokens && len(s.parts) > 1 {
 		s.evict()
 	}
 	return true
@@ -273,12 +274,12 @@
 func (s *targetState) evict() {
 	var oldest identifier.PartID
 	var oldestUse time.Time
-	for id, cached := range s.parts {
-		if oldestUse.IsZero() || cached.usedAt.Before(oldestUse) {
-			oldest, oldestUse = id, cached.usedAt
+	for id, entry := range s.parts {
+		if oldestUse.IsZero() || entry.usedAt.Before(oldestUse) {
+			oldest, oldestUse = id, entry.usedAt
 		}
 	}
-	s.cachedTokens -= s.parts[oldest].tokens
+	s.tokens -= s.parts[oldest].tokens
 	delete(s.parts, oldest)
 }
 
--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -67,7 +67,7 @@
 	Maximum time.Duration
 }
 
-func (j Jitter) cost(t *registrar.Target) time.Duration {
+func (j Jitter) offset(t *registrar.Target) time.Duration {
 	if j.Maximum <= 0 {
 		return 0
 	}
@@ -121,20 +121,20 @@
 	total := p.Tokens()
 	owner := ownerOf(p, candidates)
 	mostCached := maximumCached(candidates)
-	shared := p.sharedTokens()
+	sharedTokens := p.sharedTokens()
 	for i := range candidates {
 		c := &candidates[i]
 		choice := Choice{Target: c.Target, Uncached: max(0, total-c.Cached)}
 		choice.Predicted = promptOverhead + prefillTime(c.Load.PromptTokens+choice.Uncached)
 		cost := choice.Predicted + penalty(c, p.Zone)
 		// Most requests share the first parts. A target that has cached only these must not keep the rest from the owner.
-		if mostCached >= shared {
+		if mostCached >= sharedTokens {
 			cost += time.Duration(duplicateFraction * float64(prefillTime(mostCached-c.Cached)))
 		}
 		if i != owner {
-			cost += time.Duration(nonOwnerFraction * float64(prefillTime(max(0, shared-c.Cached))))
+			cost += time.Duration(nonOwnerFraction * float64(prefillTime(max(0, sharedTokens-c.Cached))))
 		}
-		cost += p.Jitter.cost(c.Target)
+		cost += p.Jitter.offset(c.Target)
 		if best.Target == nil || cost < bestCost {
 			best, bestCost = choice, cost
 		}
@@ -148,7 +148,7 @@
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
-		cost := time.Duration(c.Load.Answers)*answerCost + penalty(c, zone) + jitter.cost(c.Target)
+		cost := time.Duration(c.Load.Answers)*answerCost + penalty(c, zone) + jitter.offset(c.Target)
 		if c.Target.Slots > 0 && c.Load.Answers >= c.Target.Slots {
 			cost += time.Second
 		}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -46,8 +46,8 @@
 	minimumRemaining = 5 * time.Millisecond
 )
 
-// RetryBudget limits attempts beyond the first of a request.
-type RetryBudget interface {
+// Budget limits attempts beyond the first of a request.
+type Budget interface {
 	AddRequest(service identifier.ServiceID)
 	TakeRetry(service identifier.ServiceID) bool
 }
@@ -61,7 +61,7 @@
 	States   *chooser.TargetStates
 	Chooser  *chooser.Chooser
 	Backend  Backend
-	Budget   RetryBudget
+	Budget   Budget
 	// Instances returns how many instances share the targets' connections, including this one.
 	Instances func() int
 	// Expected returns the time until a target that is changing to a stage is expected there, or false if there is none.
@@ -89,7 +89,7 @@
 	attempts int
 	prefills int
 	// unusedCache is the handle of a prefilled prompt that no target has fetched yet.
-	unusedCache *CacheHandle
+	unusedCache *KVHandle
 	// prefillFailed is set after a failed prefill.
 	prefillFailed bool
 	failedTargets []identifier.TargetID
@@ -212,7 +212,7 @@
 }
 
 // attempt describes an attempt on a target; a stream resumes after lastEvent.
-func (j *job) attempt(t *registrar.Target, source *CacheHandle, lastEvent string) *Attempt {
+func (j *job) attempt(t *registrar.Target, source *KVHandle, lastEvent string) *Attempt {
 	freshness := unrepeatableFreshness
 	if j.route.Repeatable() {
 		freshness = repeatableFreshness
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -41,14 +41,14 @@
 // backend returns scripted results, one for each attempt.
 type backend struct {
 	runs, prefills []step
-	attempts       []forwarder.Attempt
+	received       []forwarder.Attempt
 	prefillCalls   int
 	freed          int
 }
 
 func (b *backend) Run(_ context.Context, _ *forwarder.Call, a *forwarder.Attempt) (*forwarder.Response, error) {
-	b.attempts = append(b.attempts, *a)
-	st := b.runs[min(len(b.attempts), len(b.runs))-1]
+	b.received = append(b.received, *a)
+	st := b.runs[min(len(b.received), len(b.runs))-1]
 	if st.err != nil {
 		return nil, st.err
 	}
@@ -60,17 +60,17 @@
 	return &forwarder.Response{Status: st.status, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, a *forwarder.Attempt) (*forwarder.CacheHandle, error) {
+func (b *backend) Prefill(_ context.Context, _ *forwarder.Call, a *forwarder.Attempt) (*forwarder.KVHandle, error) {
 	b.prefillCalls++
 	if len(b.prefills) > 0 {
 		if err := b.prefills[min(b.prefillCalls, len(b.prefills))-1].err; err != nil {
 			return nil, err
 		}
 	}
-	return &forwarder.CacheHandle{Target: a.Target, ID: "h"}, nil
+	return &forwarder.KVHandle{Target: a.Target, ID: "h"}, nil
 }
 
-func (b *backend) Free(context.Context, *forwarder.CacheHandle) error { b.freed++; return nil }
+func (b *backend) Free(context.Context, *forwarder.KVHandle) error { b.freed++; return nil }
 
 type errorReader struct{}
 
@@ -170,7 +170,7 @@
 		res := serve(b, matcher.Route{Kind: tc.kind}, &forwarder.Call{}, 5)
 		quicktest.Check(t, res.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
 		quicktest.Check(t, res.Body.String(), quicktest.Equals, tc.body, quicktest.Commentf(name))
-		quicktest.Check(t, b.attempts, quicktest.HasLen, tc.attempts, quicktest.Commentf(name))
+		quicktest.Check(t, b.received, quicktest.HasLen, tc.attempts, quicktest.Commentf(name))
 		quicktest.Check(t, res.started, quicktest.Equals, tc.started, quicktest.Commentf("%s: started", name))
 		quicktest.Check(t, res.Code != 503 || res.Header().Get("Retry-After") != "", quicktest.IsTrue, quicktest.Commentf("%s: no Retry-After header", name))
 	}
@@ -219,16 +219,16 @@
 		}
 		quicktest.Check(t, res.aborted, quicktest.Equals, tc.aborted, quicktest.Commentf("%s: aborted", name))
 		quicktest.Check(t, b.prefillCalls, quicktest.Equals, tc.prefillCalls, quicktest.Commentf("%s: prefills", name))
-		quicktest.Check(t, b.attempts, quicktest.HasLen, tc.attemptCalls, quicktest.Commentf("%s: attempts", name))
+		quicktest.Check(t, b.received, quicktest.HasLen, tc.attemptCalls, quicktest.Commentf("%s: attempts", name))
 	}
 }
 
 func TestResumptionKeepsTheFirstHeader(t *testing.T) {
 	b := &backend{runs: []step{{status: 200, body: first, truncated: true}, {status: 200, body: second}}}
 	res := serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true, Resumable: true}, &forwarder.Call{}, 5)
-	quicktest.Assert(t, res.Header().Get("X-Test-Seal"), quicktest.Equals, string(b.attempts[0].Target.ID))
-	quicktest.Assert(t, b.attempts[1].LastEvent, quicktest.Equals, "1")
-	quicktest.Assert(t, b.attempts[1].Target.ID == b.attempts[0].Target.ID, quicktest.IsFalse)
+	quicktest.Assert(t, res.Header().Get("X-Test-Seal"), quicktest.Equals, string(b.received[0].Target.ID))
+	quicktest.Assert(t, b.received[1].LastEvent, quicktest.Equals, "1")
+	quicktest.Assert(t, b.received[1].Target.ID == b.received[0].Target.ID, quicktest.IsFalse)
 }
 
 // TestRetryAfterWhenATargetIsExpected covers the time after the loss of all answer targets, while others change their
@@ -253,7 +253,7 @@
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
 	res = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
 	quicktest.Check(t, res.Body.String(), quicktest.Equals, "ok")
-	quicktest.Check(t, b.attempts[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
+	quicktest.Check(t, b.received[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
 }
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
@@ -263,11 +263,11 @@
 	b := &backend{runs: []step{notRun, {status: 200, body: "ok"}}}
 	res := serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
 	quicktest.Check(t, res.Code, quicktest.Equals, http.StatusServiceUnavailable)
-	quicktest.Check(t, b.attempts, quicktest.HasLen, 1)
+	quicktest.Check(t, b.received, quicktest.HasLen, 1)
 	b = &backend{runs: []step{broken, {status: 200, body: "ok"}}}
 	res = serve(b, matcher.Route{Kind: matcher.Safe}, long(), 5)
 	quicktest.Check(t, res.Code, quicktest.Equals, http.StatusBadGateway)
-	quicktest.Check(t, b.attempts, quicktest.HasLen, 1)
+	quicktest.Check(t, b.received, quicktest.HasLen, 1)
 	b = &backend{runs: []step{notSent, {status: 200, body: first}}}
 	res = serve(b, matcher.Route{Kind: matcher.Stream, HasPrompts: true}, long(), 5)
 	quicktest.Check(t, res.Body.String(), quicktest.Equals, first)
@@ -317,7 +317,7 @@
 func TestConnectionsOfATargetAreShared(t *testing.T) {
 	b := &backend{runs: []step{{status: 200, body: "ok"}}}
 	serve(b, matcher.Route{}, &forwarder.Call{}, 0)
-	quicktest.Assert(t, b.attempts[0].Connections, quicktest.Equals, 22, quicktest.Commentf("a fifth of 110"))
+	quicktest.Assert(t, b.received[0].Connections, quicktest.Equals, 22, quicktest.Commentf("a fifth of 110"))
 }
 
 func TestAdmission(t *testing.T) {
@@ -333,7 +333,7 @@
 		b := &backend{runs: []step{{status: 200}}}
 		res := serve(b, matcher.Route{Kind: matcher.Safe}, &tc.call, 5)
 		quicktest.Check(t, res.Code, quicktest.Equals, tc.status, quicktest.Commentf(name))
-		quicktest.Check(t, b.attempts, quicktest.HasLen, 0, quicktest.Commentf(name))
+		quicktest.Check(t, b.received, quicktest.HasLen, 0, quicktest.Commentf(name))
 	}
 	public := serve(&backend{runs: []step{{status: 200, body: "ok"}}}, matcher.Route{Kind: matcher.Safe, Public: true}, &forwarder.Call{Host: "h", Path: "/p/x"}, 5)
 	quicktest.Check(t, public.Code, quicktest.Equals, 200)
@@ -342,7 +342,7 @@
 	for _, kind := range []matcher.Kind{matcher.Unsafe, matcher.Safe, matcher.Stream} {
 		b := &backend{}
 		res := serve(b, matcher.Route{ID: "no service", Kind: kind}, &forwarder.Call{}, 5)
-		quicktest.Check(t, fmt.Sprint(res.Code, res.Body, len(b.attempts)), quicktest.Equals, "503 NoTarget\n 0")
+		quicktest.Check(t, fmt.Sprint(res.Code, res.Body, len(b.received)), quicktest.Equals, "503 NoTarget\n 0")
 	}
 
 	// Before the first configuration, and while a newer one may have the route, clients are asked to retry.
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -41,8 +41,8 @@
 	AnswerTokens identifier.Tokens
 }
 
-// CacheHandle identifies the KV cache of a prompt that one target keeps for another target to fetch.
-type CacheHandle struct {
+// KVHandle identifies the KV cache of a prompt that one target keeps for another target to fetch.
+type KVHandle struct {
 	Target *registrar.Target
 	ID     string
 }
@@ -56,7 +56,7 @@
 	// Rank is the priority in the target's queue; 0 is the highest.
 	Rank int
 	// Source is the prompt's KV cache, or nil without prefill.
-	Source *CacheHandle
+	Source *KVHandle
 	// LastEvent is the id of the event after which the stream resumes, or empty.
 	LastEvent string
 	// Connections is the maximum number of connections from this instance to the target; zero means no limit.
@@ -79,7 +79,7 @@
 	// Run sends a call to a target; errors wrap ErrNotRun or ErrOutcomeUnknown.
 	Run(ctx context.Context, c *Call, a *Attempt) (*Response, error)
 	// Prefill computes the KV cache of the call's prompt on a target; errors wrap ErrNotRun or ErrOutcomeUnknown.
-	Prefill(ctx context.Context, c *Call, a *Attempt) (*CacheHandle, error)
+	Prefill(ctx context.Context, c *Call, a *Attempt) (*KVHandle, error)
 	// Free releases an unused handle.
-	Free(ctx context.Context, h *CacheHandle) error
+	Free(ctx context.Context, h *KVHandle) error
 }
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -58,7 +58,7 @@
 }
 
 // prepare chooses the answer target and prefills the prompt for it if the service has targets for prompts.
-func (j *job) prepare(ctx context.Context) (*registrar.Target, *CacheHandle, *Refusal) {
+func (j *job) prepare(ctx context.Context) (*registrar.Target, *KVHandle, *Refusal) {
 	for {
 		if handle := j.unusedCache; handle != nil {
 			j.unusedCache = nil
@@ -109,7 +109,7 @@
 }
 
 // pairWithAnswerTarget chooses the answer target for a prefilled prompt.
-func (j *job) pairWithAnswerTarget(handle *CacheHandle) (*registrar.Target, *CacheHandle, *Refusal) {
+func (j *job) pairWithAnswerTarget(handle *KVHandle) (*registrar.Target, *KVHandle, *Refusal) {
 	answer, ok := j.chooseAnswerTarget()
 	if !ok {
 		j.free(handle)
@@ -132,7 +132,7 @@
 }
 
 // prefill computes the prompt's KV cache on the chosen target.
-func (j *job) prefill(ctx context.Context, choice chooser.Choice) (*CacheHandle, error) {
+func (j *job) prefill(ctx context.Context, choice chooser.Choice) (*KVHandle, error) {
 	end := j.f.States.Begin(choice.Target.ID, chooser.Load{PromptTokens: choice.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
@@ -149,7 +149,7 @@
 }
 
 // free releases a handle in the background.
-func (j *job) free(handle *CacheHandle) {
+func (j *job) free(handle *KVHandle) {
 	if handle == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 }
 
 // generate runs the request on the answer target and relays the events.
-func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *CacheHandle) error {
+func (j *job) generate(ctx context.Context, s *stream, t *registrar.Target, source *KVHandle) error {
 	tokens := j.call.AnswerTokens
 	for _, part := range j.call.Parts {
 		tokens += part.Tokens
