--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -30,6 +30,7 @@
 		if err != nil || response.Status >= http.StatusInternalServerError {
 			j.logFailedAttempt(choice.Target, response, err)
 		}
+		// A case that does not return leads to an attempt on another target.
 		switch {
 		case err == nil && !j.retryableFailure(response):
 			j.f.States.Succeeded(choice.Target.ID, time.Now())
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -64,39 +64,39 @@
 			j.unusedCache = nil
 			return j.pairWithAnswerTarget(handle)
 		}
-		answer, ok := j.chooseAnswerTarget()
+		answerChoice, ok := j.chooseAnswerTarget()
 		if !ok {
 			return nil, nil, j.refuseNoTarget()
 		}
 		if !j.route.HasPrompts {
-			return answer.Target, nil, nil
+			return answerChoice.Target, nil, nil
 		}
-		prompts := j.candidates(j.call.Parts, registrar.PrefillStage)
-		prompt, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.jitter()}, prompts)
+		promptTargets := j.candidates(j.call.Parts, registrar.PrefillStage)
+		promptChoice, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.jitter()}, promptTargets)
 		if !ok && j.prefillFailed && j.call.Body.Whole() {
 			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", minimumRetryAfter, nil))
 		}
 		if !ok || !j.call.Body.Whole() {
 			// No target prefills separately, or the body can be sent only once, so the answer target does both.
-			return answer.Target, nil, nil
+			return answerChoice.Target, nil, nil
 		}
 		if j.attempts == 0 && len(j.failedTargets) == 0 {
-			j.f.RecordDemand(j.service, prompt.Uncached, time.Now())
+			j.f.RecordDemand(j.service, promptChoice.Uncached, time.Now())
 		}
 		// The first prefill of a request doesn't count against the retry budget.
 		if j.prefills > 0 && !j.f.Budget.TakeRetry(j.service) {
 			return nil, nil, j.adjustRefusal(refuseNotRun("RetryBudgetSpent", minimumRetryAfter, nil))
 		}
 		j.prefills++
-		handle, err := j.prefill(ctx, prompt)
+		handle, err := j.prefill(ctx, promptChoice)
 		if err == nil {
 			return j.pairWithAnswerTarget(handle)
 		}
 		j.f.Logger.Info("prompt target failed", zap.String("RequestID", string(j.call.ID)),
-			zap.String("Target", string(prompt.Target.ID)), zap.Duration("Predicted", prompt.Predicted), zap.Error(err))
+			zap.String("Target", string(promptChoice.Target.ID)), zap.Duration("Predicted", promptChoice.Predicted), zap.Error(err))
 		j.prefillFailed = true
-		j.f.States.Failed(prompt.Target.ID, time.Now())
-		j.failedTargets = append(j.failedTargets, prompt.Target.ID)
+		j.f.States.Failed(promptChoice.Target.ID, time.Now())
+		j.failedTargets = append(j.failedTargets, promptChoice.Target.ID)
 		switch {
 		case ctx.Err() != nil:
 			return nil, nil, &Refusal{Status: http.StatusGatewayTimeout, Reason: "PromptTimeout", Err: err}
@@ -110,12 +110,12 @@
 
 // pairWithAnswerTarget chooses the answer target for a prefilled prompt.
 func (j *job) pairWithAnswerTarget(handle *KVHandle) (*registrar.Target, *KVHandle, *Refusal) {
-	answer, ok := j.chooseAnswerTarget()
+	choice, ok := j.chooseAnswerTarget()
 	if !ok {
 		j.free(handle)
 		return nil, nil, j.refuseNoTarget()
 	}
-	return answer.Target, handle, nil
+	return choice.Target, handle, nil
 }
 
 // jitter returns a new jitter that covers the possible error of the loads reported by peers.
