--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -218,7 +218,7 @@
 		freshness = repeatableFreshness
 	}
 	return &Attempt{
-		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), Rank: matcher.EffectivePriority(j.route, j.team),
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), Priority: matcher.EffectivePriority(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connectionShare(),
 	}
 }
@@ -241,7 +241,7 @@
 	return j.f.States.Candidates(targets, parts, time.Now())
 }
 
-// chooseAnswerTarget chooses among the targets for answers and those without a stage.
+// chooseAnswerTarget chooses among the targets of the decode stage and those without a stage.
 func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
 	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
 	if j.route.HasPrompts {
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// prepare chooses the answer target and prefills the prompt for it if the service has targets for prompts.
+// prepare chooses the answer target and prefills the prompt for it if the service has targets of the prefill
+// stage.
 func (j *job) prepare(ctx context.Context) (*registrar.Target, *KVHandle, *Refusal) {
 	for {
 		if handle := j.unusedCache; handle != nil {
