--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -1,2 +1,2 @@
-// Package placer decides the roles of engines and how many targets to hold in which availability zone; it does no I/O.
+// Package placer plans the roles of engines and the number of targets in each availability zone; it does no I/O.
 package placer
--- a/internal/placer/fleet.go
+++ b/internal/placer/fleet.go
@@ -8,82 +8,85 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Cheap targets cost a fraction of the others and may be reclaimed, all of an availability zone at once, and a second
-// zone before the first has any again. The fleet is therefore cheap targets in every zone, and as many others as keep
-// the load served while two zones lack their cheap ones. Others are given back only as far as cheap ones have come.
+// Cheap targets cost a fraction of the regular price, but the platform may reclaim all of them in an availability zone
+// at once, and those of a second zone before the first has new ones. The plan therefore has cheap targets in every zone
+// and enough regular ones to carry the load while two zones have no cheap targets. Regular targets are withdrawn only
+// after at least half of the planned cheap targets have arrived.
 
-// headroom is how many engines a load of one engine takes to be served in time: prompts come in bursts, and the longest
-// of them hold an engine for most of the promised latency.
+// headroom is the number of engines per engine of load: prompts arrive in bursts, and the longest prompts occupy an
+// engine for most of the promised latency.
 const headroom = 3.0
 
-// cheapHeadroom is the same with cheap ones, which cost so little that bursts are served without a wait.
+// cheapHeadroom is the headroom with cheap targets, which cost little enough to serve bursts without queueing.
 const cheapHeadroom = 6
 
-// ZoneFleet is what one availability zone has.
+// ZoneFleet is the current number of targets in one availability zone.
 type ZoneFleet struct {
 	Zone identifier.ZoneID
-	// Regular and Cheap count targets that are there and not leaving.
+	// Regular and Cheap count the running targets, without those that are leaving.
 	Regular int
 	Cheap   int
 }
 
-// FleetInput is what a decision on the number of targets depends on.
+// FleetInput is the input of PlanFleet.
 type FleetInput struct {
 	Zones []ZoneFleet
-	// Minimum and Maximum bound the targets of both kinds together in each zone.
+	// Minimum and Maximum bound the regular and cheap targets of each zone together.
 	Minimum int
 	Maximum int
-	// PeakLoad is the highest demand of late, in engines that are busy all the time; zero: not known yet.
+	// PeakLoad is the recent peak demand in fully busy engines; zero means not known yet.
 	PeakLoad float64
-	// CheapPriceFraction is what a cheap target costs of the price of another; zero or less: none can be had.
+	// CheapPriceFraction is the price of a cheap target as a fraction of the regular price; zero or less means that
+	// cheap targets are not available.
 	CheapPriceFraction float64
 }
 
-// ZonePlan is how many targets of each kind a zone should have.
+// ZonePlan is the planned number of targets of each kind in a zone.
 type ZonePlan struct {
 	Zone    identifier.ZoneID
 	Regular int
 	Cheap   int
 }
 
-// PlanFleet returns what to order in each zone.
-func PlanFleet(s FleetInput) []ZonePlan {
-	zones := slices.Clone(s.Zones)
+// PlanFleet returns the number of targets to order in each zone.
+func PlanFleet(in FleetInput) []ZonePlan {
+	zones := slices.Clone(in.Zones)
 	slices.SortFunc(zones, func(a, b ZoneFleet) int { return cmp.Compare(a.Zone, b.Zone) })
-	wants := make([]ZonePlan, 0, len(zones))
+	plans := make([]ZonePlan, 0, len(zones))
 	for _, z := range zones {
-		w := ZonePlan{Zone: z.Zone, Regular: max(z.Regular, s.Minimum)}
-		switch cheap := s.CheapPriceFraction > 0 && s.CheapPriceFraction < 1; {
-		case s.PeakLoad <= 0 && cheap:
-			w.Cheap = max(0, s.Maximum-max(w.Regular, s.Maximum/2))
-		case s.PeakLoad > 0 && cheap:
-			w = mixed(s, z, len(zones))
-		case s.PeakLoad > 0:
-			w.Regular = inBounds(s, math.Ceil(s.PeakLoad*headroom/float64(len(zones))))
+		plan := ZonePlan{Zone: z.Zone, Regular: max(z.Regular, in.Minimum)}
+		switch cheap := in.CheapPriceFraction > 0 && in.CheapPriceFraction < 1; {
+		case in.PeakLoad <= 0 && cheap:
+			plan.Cheap = max(0, in.Maximum-max(plan.Regular, in.Maximum/2))
+		case in.PeakLoad > 0 && cheap:
+			plan = planMixed(in, z, len(zones))
+		case in.PeakLoad > 0:
+			plan.Regular = clampTargets(in, math.Ceil(in.PeakLoad*headroom/float64(len(zones))))
 		}
-		wants = append(wants, w)
+		plans = append(plans, plan)
 	}
-	return wants
+	return plans
 }
 
-// mixed returns the fewest regular targets that carry the load without the cheap ones of two zones, and cheap ones
-// that carry it without those of one.
-func mixed(s FleetInput, z ZoneFleet, zones int) ZonePlan {
-	needed := s.PeakLoad * headroom
-	n, rest := float64(zones), float64(max(0, zones-2))
-	base := max(1, s.Minimum)
-	for base < s.Maximum && n*float64(base)+rest*float64(s.Maximum-base) < needed {
-		base++
+// planMixed returns the fewest regular targets that carry the load while two zones have no cheap targets, and enough
+// cheap targets to carry it while one zone has none.
+func planMixed(in FleetInput, z ZoneFleet, zones int) ZonePlan {
+	needed := in.PeakLoad * headroom
+	n, cheapZones := float64(zones), float64(max(0, zones-2))
+	regular := max(1, in.Minimum)
+	for regular < in.Maximum && n*float64(regular)+cheapZones*float64(in.Maximum-regular) < needed {
+		regular++
 	}
-	all := inBounds(s, math.Ceil(s.PeakLoad*cheapHeadroom/max(1, n-1)))
-	// More regular targets are not ordered where cheap ones do the work: they would stay after the burst.
-	base = min(base, max(z.Regular, s.Minimum, 1))
-	w := ZonePlan{Zone: z.Zone, Regular: max(base, z.Regular), Cheap: max(1, all-base)}
-	if 2*z.Cheap >= w.Cheap {
-		w.Regular = base
+	total := clampTargets(in, math.Ceil(in.PeakLoad*cheapHeadroom/max(1, n-1)))
+	// Regular targets are not added for a burst that cheap targets can serve: they would remain after it.
+	regular = min(regular, max(z.Regular, in.Minimum, 1))
+	plan := ZonePlan{Zone: z.Zone, Regular: max(regular, z.Regular), Cheap: max(1, total-regular)}
+	if 2*z.Cheap >= plan.Cheap {
+		plan.Regular = regular
 	}
-	w.Cheap = max(0, min(w.Cheap, s.Maximum-w.Regular))
-	return w
+	plan.Cheap = max(0, min(plan.Cheap, in.Maximum-plan.Regular))
+	return plan
 }
 
-func inBounds(s FleetInput, n float64) int { return max(s.Minimum, 1, min(s.Maximum, int(n))) }
+// clampTargets limits a number of targets to the bounds of a zone, and to at least one.
+func clampTargets(in FleetInput, n float64) int { return max(in.Minimum, 1, min(in.Maximum, int(n))) }
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -18,21 +18,21 @@
 	return list
 }
 
-// TestFleet answers swings of prompts on a fleet whose cheap targets vanish a zone at a time.
+// TestFleet checks the plan at changing prompt load, on a fleet whose cheap targets may be reclaimed zone by zone.
 func TestFleet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		s       placer.FleetInput
 		regular int
 		cheap   int
 	}{
-		"nothing known: cheap ones beside what may be there": {placer.FleetInput{Zones: zones(0, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 1, 4},
-		"no load yet: nothing is given back":                 {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 4, 4},
-		"high load keeps the others":                         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 6}, 4, 4},
-		"low load gives the others back":                     {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 1.5}, 1, 4},
-		"not before cheap ones have come":                    {placer.FleetInput{Zones: zones(4, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 1.5}, 4, 4},
-		"bursts order no dear ones":                          {placer.FleetInput{Zones: zones(2, 6, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 20}, 2, 6},
-		"the minimum stays":                                  {placer.FleetInput{Zones: zones(3, 3, "a", "b", "c", "d"), Minimum: 2, Maximum: 6, CheapPriceFraction: 0.2, PeakLoad: 0.1}, 2, 1},
-		"no cheap ones to be had":                            {placer.FleetInput{Zones: zones(4, 0, "a", "b"), Minimum: 1, Maximum: 8, PeakLoad: 4}, 6, 0},
+		"load unknown, no targets: half cheap":       {placer.FleetInput{Zones: zones(0, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 1, 4},
+		"load unknown: nothing is withdrawn":         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 4, 4},
+		"high load keeps regular targets":            {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 6}, 4, 4},
+		"low load withdraws regular targets":         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 1.5}, 1, 4},
+		"none withdrawn before cheap targets arrive": {placer.FleetInput{Zones: zones(4, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 1.5}, 4, 4},
+		"bursts order no regular targets":            {placer.FleetInput{Zones: zones(2, 6, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, PeakLoad: 20}, 2, 6},
+		"the minimum is kept":                        {placer.FleetInput{Zones: zones(3, 3, "a", "b", "c", "d"), Minimum: 2, Maximum: 6, CheapPriceFraction: 0.2, PeakLoad: 0.1}, 2, 1},
+		"no cheap targets available":                 {placer.FleetInput{Zones: zones(4, 0, "a", "b"), Minimum: 1, Maximum: 8, PeakLoad: 4}, 6, 0},
 	} {
 		for _, w := range placer.PlanFleet(tc.s) {
 			quicktest.Check(t, w.Regular, quicktest.Equals, tc.regular, quicktest.Commentf("%s: regular", name))
@@ -42,6 +42,7 @@
 	}
 }
 
+// stageEngines returns one engine for each letter of stages, A for decode and P for prefill, in the zones in turn.
 func stageEngines(stages string, zones string) []placer.StageEngine {
 	var list []placer.StageEngine
 	for i, s := range stages {
@@ -55,7 +56,7 @@
 }
 
 func TestSplit(t *testing.T) {
-	// A fleet that starts with most engines answering: prompts are the load.
+	// Most engines start on decode, but prefill is most of the load.
 	list := stageEngines("AAAAAAAPPPPP", "xyz")
 	wanted := placer.WantedDecodeEngines(len(list))
 	quicktest.Assert(t, wanted, quicktest.Equals, 2)
@@ -70,23 +71,23 @@
 	for zone, n := range left {
 		quicktest.Check(t, n, quicktest.Equals, 1, quicktest.Commentf("zone %s", zone))
 	}
-	quicktest.Assert(t, placer.PlanStages(list, wanted), quicktest.HasLen, 0, quicktest.Commentf("a settled fleet is left alone"))
+	quicktest.Assert(t, placer.PlanStages(list, wanted), quicktest.HasLen, 0, quicktest.Commentf("a balanced fleet is not changed"))
 
-	// The answering engines of a zone were reclaimed.
+	// All decode engines were reclaimed.
 	list = stageEngines("PPPPPP", "xy")
 	quicktest.Assert(t, placer.PlanStages(list, 1), quicktest.DeepEquals, []placer.StageChange{{ID: "a", Stage: registrar.DecodeStage}})
 
-	// Cheap engines answer only where no other can, because answers are cut when they go.
+	// Cheap engines decode only if no regular one can, because reclaiming them cuts off answers.
 	list = stageEngines("PPPP", "x")
 	list[0].Cheap = true
 	quicktest.Assert(t, placer.PlanStages(list, 1)[0].ID, quicktest.Equals, identifier.TargetID("b"))
 
-	// Engines that are still changing to answers replace none that answers.
+	// Engines that are still changing to decode don't replace one that decodes.
 	list = stageEngines("AAAPPP", "xyz")
 	list[1].Busy, list[2].Busy = true, true
 	quicktest.Assert(t, placer.PlanStages(list, 1), quicktest.HasLen, 0)
 
-	// Engines that are changing already are not ordered again.
+	// Engines that are already changing are not ordered again.
 	list = stageEngines("PP", "x")
 	list[0].Busy = true
 	quicktest.Assert(t, placer.PlanStages(list, 1)[0].ID, quicktest.Equals, identifier.TargetID("b"))
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -12,7 +12,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// engines returns n engines in three zones, the first prefill of them with that role.
+// engines returns n engines in three zones, the first ones (as many as prefill) with the prefill role.
 func engines(n, prefill int) []placer.Engine {
 	list := make([]placer.Engine, n)
 	for i := range list {
@@ -31,16 +31,16 @@
 		changes int
 		role    recorder.Role
 	}{
-		"light load changes nothing":            {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 200), Long: demand(200, 200)}, 0, 0},
-		"many prompts set engines apart":        {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200)}, 4, recorder.Role_Prefill},
-		"a short burst changes nothing":         {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(300, 200)}, 0, 0},
-		"soon after a change nothing changes":   {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200), SinceChange: time.Second}, 0, 0},
-		"fewer prompts give engines back":       {placer.RoleInput{Engines: engines(12, 5), Short: demand(100, 300), Long: demand(100, 300)}, 4, recorder.Role_Mixed},
-		"a little less changes nothing":         {placer.RoleInput{Engines: engines(12, 5), Short: demand(570, 200), Long: demand(570, 200)}, 0, 0},
-		"full batches set engines apart":        {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 800), Long: demand(200, 800)}, 2, recorder.Role_Prefill},
-		"an engine that changes is waited for":  {placer.RoleInput{Engines: changing(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
-		"engines that take no order stay as is": {placer.RoleInput{Engines: fixed(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
-		"one engine stays mixed":                {placer.RoleInput{Engines: engines(1, 0), Short: demand(90, 10), Long: demand(90, 10)}, 0, 0},
+		"light load changes nothing":             {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 200), Long: demand(200, 200)}, 0, 0},
+		"many prompts add prefill engines":       {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200)}, 4, recorder.Role_Prefill},
+		"a short burst changes nothing":          {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(300, 200)}, 0, 0},
+		"no change soon after the last change":   {placer.RoleInput{Engines: engines(12, 0), Short: demand(660, 200), Long: demand(660, 200), SinceChange: time.Second}, 0, 0},
+		"fewer prompts return engines to mixed":  {placer.RoleInput{Engines: engines(12, 5), Short: demand(100, 300), Long: demand(100, 300)}, 4, recorder.Role_Mixed},
+		"slightly less demand changes nothing":   {placer.RoleInput{Engines: engines(12, 5), Short: demand(570, 200), Long: demand(570, 200)}, 0, 0},
+		"full batches add prefill engines":       {placer.RoleInput{Engines: engines(12, 0), Short: demand(200, 800), Long: demand(200, 800)}, 2, recorder.Role_Prefill},
+		"no change while an engine is changing":  {placer.RoleInput{Engines: withChanging(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
+		"engines that take no orders keep roles": {placer.RoleInput{Engines: notOrderable(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
+		"a single engine stays mixed":            {placer.RoleInput{Engines: engines(1, 0), Short: demand(90, 10), Long: demand(90, 10)}, 0, 0},
 	} {
 		if tc.s.SinceChange == 0 {
 			tc.s.SinceChange = time.Minute
@@ -53,19 +53,19 @@
 	}
 }
 
-func changing(list []placer.Engine) []placer.Engine {
+func withChanging(list []placer.Engine) []placer.Engine {
 	list[3].Changing = true
 	return list
 }
 
-func fixed(list []placer.Engine) []placer.Engine {
+func notOrderable(list []placer.Engine) []placer.Engine {
 	for i := range list {
 		list[i].Orderable = false
 	}
 	return list
 }
 
-func holdings(zones ...string) []placer.TargetState {
+func targetStates(zones ...string) []placer.TargetState {
 	var list []placer.TargetState
 	for i, zone := range zones {
 		list = append(list, placer.TargetState{ID: identifier.TargetID(fmt.Sprint(i)), Zone: identifier.ZoneID(zone), Acquired: i > 0})
@@ -79,12 +79,12 @@
 		s    placer.TargetInput
 		want []placer.TargetChange
 	}{
-		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: holdings("a", "b", "c"), Needed: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
-		"too few after a zone is lost":  {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
-		"cheap within its share":        {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
-		"no more than the maximum":      {placer.TargetInput{Zones: zones, Targets: holdings("a", "b"), Needed: 5, Maximum: 2, SurvivingShare: 1}, nil},
-		"no zone to order in":           {placer.TargetInput{Targets: holdings("a", "b"), Needed: 5, Maximum: 9, SurvivingShare: 1}, nil},
-		"gives back what is not needed": {placer.TargetInput{Zones: zones, Targets: holdings("a", "b", "c", "b", "a"), Needed: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
+		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c"), Needed: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
+		"too few after a zone is lost":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
+		"cheap within its share":        {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
+		"no more than the maximum":      {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 5, Maximum: 2, SurvivingShare: 1}, nil},
+		"no zone to order in":           {placer.TargetInput{Targets: targetStates("a", "b"), Needed: 5, Maximum: 9, SurvivingShare: 1}, nil},
+		"withdraws an unneeded target":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c", "b", "a"), Needed: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
 	} {
 		quicktest.Check(t, placer.PlanTargets(tc.s), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
 	}
--- a/internal/placer/roles.go
+++ b/internal/placer/roles.go
@@ -10,40 +10,40 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// The decision is how many engines compute prompts only; all others are mixed and answer, whether they
-// computed the prompt themselves or import its KV cache.
+// PlanRoles decides how many engines do prefill only. All other engines are mixed: they decode, after their own
+// prefill or after importing the prompt's KV cache.
 //
-// Demand is measured in engines: uncached prompt tokens per second over an engine's prefill rate, and
-// output tokens per second over its decode rate. A mixed engine computes prompts in chunks beside its
-// running answers, so only a part of it can go to prompts while tokens still come in time. As long as
-// the prompts fit into that part of all engines, nothing is changed, because a change costs seconds.
-// Beyond that, so many engines are set apart for prompts that the rest fits again; for all prompts, where
-// answers fill the batches so far that any prompt beside them makes tokens late. The number follows the
-// demand only when it is off by more than one engine, in the shorter and in the longer window.
+// Demand is measured in engines: uncached prompt tokens per second divided by an engine's prefill rate, and output
+// tokens per second divided by its decode rate. A mixed engine runs prefill in chunks between decode steps, so it can
+// spend only a fraction of its time on prefill if tokens are to be on time. While the prefill demand fits into that
+// fraction of all engines, no role changes, because a change takes seconds. Beyond that, enough engines become prefill
+// engines for the remaining prefill to fit. If decode fills the batches so far that any prefill beside it makes tokens
+// late, prefill engines take all prompts. The number of prefill engines changes only when it is off by more than one
+// engine in both the short and the long window.
 
 const (
-	// mixedPart is the part of a mixed engine that prompts may take up.
-	mixedPart = 0.30
-	// prefillPart is the part of a prefill engine that may be in use.
-	prefillPart = 0.85
-	// answerPart is the part of an answering engine that may be in use.
-	answerPart = 0.80
-	// servedPart is the part of all engines that can be in use together.
-	servedPart = 0.85
-	// splitAbove is the part of all engines that prompts take up when the first is set apart, and joinBelow
-	// the one when the last is given back.
-	splitAbove = 0.40
-	joinBelow  = 0.20
-	// answersHigh and answersLow are the same for answers.
-	answersHigh = 0.60
-	answersLow  = 0.50
-	// tolerance is the number of engines by which the split may be off.
-	tolerance     = 1.6
-	settleTime    = 3 * time.Second
-	changesAtOnce = 4
+	// mixedPrefillShare is the largest share of a mixed engine's time for prefill.
+	mixedPrefillShare = 0.30
+	// prefillUtilization is the highest planned utilization of a prefill engine.
+	prefillUtilization = 0.85
+	// decodeUtilization is the highest planned utilization of an engine that decodes.
+	decodeUtilization = 0.80
+	// fleetUtilization is the highest utilization of all engines together.
+	fleetUtilization = 0.85
+	// prefillSplitShare is the prefill share of the fleet above which the first prefill engine is set up, and
+	// prefillMergeShare the one below which the last becomes mixed again.
+	prefillSplitShare = 0.40
+	prefillMergeShare = 0.20
+	// decodeSplitShare and decodeMergeShare are the same thresholds for the decode share.
+	decodeSplitShare = 0.60
+	decodeMergeShare = 0.50
+	// toleranceEngines is how far the number of prefill engines may be off before roles change.
+	toleranceEngines = 1.6
+	settleTime       = 3 * time.Second
+	maximumChanges   = 4
 )
 
-// Engine is what a role decision depends on for one engine.
+// Engine is the input of PlanRoles for one engine.
 type Engine struct {
 	ID               identifier.TargetID
 	Zone             identifier.ZoneID
@@ -54,13 +54,13 @@
 	DecodePerSecond  float64
 }
 
-// Demand is uncached prompt tokens and output tokens per second.
+// Demand is a rate of uncached prompt tokens and output tokens per second.
 type Demand struct {
 	Prompt float64
 	Output float64
 }
 
-// RoleInput is what a role decision depends on.
+// RoleInput is the input of PlanRoles; Short and Long are the demand over a short and a long window.
 type RoleInput struct {
 	Engines     []Engine
 	Short       Demand
@@ -68,36 +68,36 @@
 	SinceChange time.Duration
 }
 
-// RoleChange is a role to order.
+// RoleChange is an order to change an engine's role.
 type RoleChange struct {
 	ID   identifier.TargetID
 	Role recorder.Role
 }
 
 // PlanRoles returns the role changes to order now.
-func PlanRoles(s RoleInput) []RoleChange {
-	if len(s.Engines) == 0 || s.SinceChange < settleTime || changing(s.Engines) {
+func PlanRoles(in RoleInput) []RoleChange {
+	if len(in.Engines) == 0 || in.SinceChange < settleTime || anyChanging(in.Engines) {
 		return nil
 	}
-	have := countPrefill(s.Engines)
-	short := wantedPrefill(s.Engines, s.Short, have) - float64(have)
-	long := wantedPrefill(s.Engines, s.Long, have) - float64(have)
-	if math.Abs(short) < tolerance || math.Abs(long) < tolerance || short*long < 0 {
+	current := countPrefill(in.Engines)
+	short := wantedPrefill(in.Engines, in.Short, current) - float64(current)
+	long := wantedPrefill(in.Engines, in.Long, current) - float64(current)
+	if math.Abs(short) < toleranceEngines || math.Abs(long) < toleranceEngines || short*long < 0 {
 		return nil
 	}
-	return changes(s.Engines, int(math.Round(short)))
+	return changes(in.Engines, int(math.Round(short)))
 }
 
-// NeededEngines returns the demand in engines.
+// NeededEngines returns the demand in fully busy engines.
 func NeededEngines(engines []Engine, d Demand) float64 {
 	if len(engines) == 0 {
 		return 0
 	}
-	prefill, decode := need(engines, d)
+	prefill, decode := enginesByKind(engines, d)
 	return prefill + decode
 }
 
-func changing(engines []Engine) bool {
+func anyChanging(engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(e Engine) bool { return e.Changing })
 }
 
@@ -111,8 +111,8 @@
 	return n
 }
 
-// need returns the engines that each kind of demand would fill on its own.
-func need(engines []Engine, d Demand) (prefill, decode float64) {
+// enginesByKind returns how many engines prefill and decode would each keep fully busy.
+func enginesByKind(engines []Engine, d Demand) (prefill, decode float64) {
 	var prefillRate, decodeRate float64
 	for _, e := range engines {
 		prefillRate += e.PrefillPerSecond
@@ -122,64 +122,65 @@
 	return d.Prompt / (prefillRate / n), d.Output / (decodeRate / n)
 }
 
-// wantedPrefill returns how many engines should compute prompts only, with a fraction.
-func wantedPrefill(engines []Engine, d Demand, have int) float64 {
+// wantedPrefill returns the number of prefill engines that the demand calls for, not rounded.
+func wantedPrefill(engines []Engine, d Demand, current int) float64 {
 	n := float64(len(engines))
-	prefill, decode := need(engines, d)
-	// What exceeds the fleet is refused whatever the roles are; the mix of what can be served decides.
-	if used := (prefill + decode) / n; used > servedPart {
-		prefill *= servedPart / used
-		decode *= servedPart / used
+	prefill, decode := enginesByKind(engines, d)
+	// Demand beyond the fleet's capacity is refused whatever the roles are, so the demand is scaled down to what can be
+	// served.
+	if utilization := (prefill + decode) / n; utilization > fleetUtilization {
+		prefill *= fleetUtilization / utilization
+		decode *= fleetUtilization / utilization
 	}
-	threshold := splitAbove
-	if have > 0 {
-		threshold = joinBelow
+	threshold := prefillSplitShare
+	if current > 0 {
+		threshold = prefillMergeShare
 	}
-	if prefill/n <= threshold && decode/n <= answersAbove(have) {
+	if prefill/n <= threshold && decode/n <= decodeThreshold(current) {
 		return 0
 	}
-	wanted := (prefill - mixedPart*n) / (prefillPart - mixedPart)
-	if decode/n > answersAbove(have) {
-		wanted = prefill / prefillPart
+	wanted := (prefill - mixedPrefillShare*n) / (prefillUtilization - mixedPrefillShare)
+	if decode/n > decodeThreshold(current) {
+		wanted = prefill / prefillUtilization
 	}
-	most := n - math.Ceil(decode/answerPart)
-	return max(0, min(max(1, wanted), most, n-1))
+	limit := n - math.Ceil(decode/decodeUtilization)
+	return max(0, min(max(1, wanted), limit, n-1))
 }
 
-// answersAbove is the part of all engines that answers take up, above which no prompt fits beside them.
-func answersAbove(have int) float64 {
-	if have > 0 {
-		return answersLow
+// decodeThreshold is the decode share of the fleet above which mixed engines have no time left for prefill.
+func decodeThreshold(current int) float64 {
+	if current > 0 {
+		return decodeMergeShare
 	}
-	return answersHigh
+	return decodeSplitShare
 }
 
-// changes sets so many more engines apart for prompts, or fewer, in all zones in turn.
+// changes orders more prefill engines, or fewer where more is negative, in the zones with the fewest first.
 func changes(engines []Engine, more int) []RoleChange {
 	from, to := recorder.Role_Mixed, recorder.Role_Prefill
 	if more < 0 {
 		from, to, more = to, from, -more
 	}
 	var list []RoleChange
-	for _, e := range spread(engines, to) {
-		if e.Orderable && e.Role == from && len(list) < min(more, changesAtOnce) {
+	for _, e := range balanceZones(engines, to) {
+		if e.Orderable && e.Role == from && len(list) < min(more, maximumChanges) {
 			list = append(list, RoleChange{ID: e.ID, Role: to})
 		}
 	}
 	return list
 }
 
-// spread orders engines so that those in zones with the fewest engines of a role come first.
-func spread(engines []Engine, role recorder.Role) []Engine {
-	of := map[identifier.ZoneID]int{}
+// balanceZones sorts engines so that those in zones with the fewest engines of the role come first.
+func balanceZones(engines []Engine, role recorder.Role) []Engine {
+	byZone := map[identifier.ZoneID]int{}
 	for _, e := range engines {
 		if e.Role == role {
-			of[e.Zone]++
+			byZone[e.Zone]++
 		}
 	}
 	ordered := slices.Clone(engines)
 	slices.SortFunc(ordered, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(of[a.Zone], of[b.Zone]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(byZone[a.Zone], byZone[b.Zone]), cmp.Compare(a.ID, b.ID))
 	})
 	return ordered
 }
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -9,44 +9,44 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// On engines that either compute prompts or generate answers, prompts are most of the work: answers are short, and one
-// engine batches many of them. The split keeps a fixed part for answers, spread over the availability zones, and changes
-// as few engines as it can.
+// Where each engine runs either prefill or decode, prefill is most of the work: answers are short, and one engine
+// decodes many of them in a batch. PlanStages keeps a fixed share of the engines on decode, spread over the availability
+// zones, and changes as few engines as possible.
 
-// answerShare is the part of all engines that generates answers.
-const answerShare = 0.18
+// decodeShare is the share of all engines that decode.
+const decodeShare = 0.18
 
-// StageEngine is what a split depends on for one engine.
+// StageEngine is the input of PlanStages for one engine.
 type StageEngine struct {
 	ID    identifier.TargetID
 	Zone  identifier.ZoneID
 	Stage registrar.Stage
 	Cheap bool
-	// Busy engines are changing already, or may not be changed now.
+	// Busy engines are changing their stage, or must not change it now.
 	Busy bool
 }
 
-// StageChange is a stage to order.
+// StageChange is an order to change an engine's stage.
 type StageChange struct {
 	ID    identifier.TargetID
 	Stage registrar.Stage
 }
 
-// WantedDecodeEngines returns how many of so many engines should generate answers.
+// WantedDecodeEngines returns how many of the given number of engines should decode.
 func WantedDecodeEngines(engines int) int {
 	if engines <= 1 {
 		return engines
 	}
-	return min(engines-1, max(1, int(math.Round(answerShare*float64(engines)))))
+	return min(engines-1, max(1, int(math.Round(decodeShare*float64(engines)))))
 }
 
-// PlanStages returns the changes that bring the number of answering engines to wanted.
+// PlanStages returns the changes that bring the number of decode engines to wanted.
 func PlanStages(engines []StageEngine, wanted int) []StageChange {
 	zones := map[identifier.ZoneID]int{}
-	have, ready := 0, 0
+	decoding, ready := 0, 0
 	for _, e := range engines {
 		if e.Stage == registrar.DecodeStage {
-			have++
+			decoding++
 			zones[e.Zone]++
 			if !e.Busy {
 				ready++
@@ -54,7 +54,7 @@
 		}
 	}
 	var changes []StageChange
-	for ; have < wanted; have++ {
+	for ; decoding < wanted; decoding++ {
 		e := pick(engines, registrar.PrefillStage, func(a StageEngine) int { return zones[a.Zone] })
 		if e == nil {
 			break
@@ -62,7 +62,7 @@
 		zones[e.Zone]++
 		changes = append(changes, change(e, registrar.DecodeStage))
 	}
-	// Engines that are still changing answer nothing yet.
+	// Engines that are still changing to decode don't count: they serve no answers yet.
 	for ; ready > wanted; ready-- {
 		e := pick(engines, registrar.DecodeStage, func(a StageEngine) int { return -zones[a.Zone] })
 		if e == nil {
@@ -74,15 +74,15 @@
 	return changes
 }
 
-// MaximumWithdrawals returns how many engines of a zone may be given back at once, by how many engines answer in each zone: any
-// number if enough answer elsewhere, else one if another one answers.
-func MaximumWithdrawals(answering map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
+// MaximumWithdrawals returns how many engines of a zone may be withdrawn at once, given the number of decode engines in
+// each zone: any number if enough engines decode in the other zones, else one if at least two decode in all.
+func MaximumWithdrawals(decoding map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
 	total := 0
-	for _, n := range answering {
+	for _, n := range decoding {
 		total += n
 	}
 	switch wanted := WantedDecodeEngines(engines); {
-	case total-answering[zone] >= max(1, wanted-1):
+	case total-decoding[zone] >= max(1, wanted-1):
 		return math.MaxInt
 	case total >= 2:
 		return 1
@@ -95,7 +95,8 @@
 	return StageChange{ID: e.ID, Stage: stage}
 }
 
-// pick returns the engine of a stage with the lowest rank; engines that may be reclaimed answer last.
+// pick returns the engine of a stage with the lowest rank. Cheap engines, which may be reclaimed, are the last to become
+// decode engines and the first to stop.
 func pick(engines []StageEngine, stage registrar.Stage, rank func(StageEngine) int) *StageEngine {
 	var best *StageEngine
 	for i := range engines {
@@ -117,7 +118,7 @@
 	return 0
 }
 
-// SortEngines orders engines by id, so that equal situations give equal splits.
+// SortEngines sorts engines by id, so that PlanStages is deterministic.
 func SortEngines(engines []StageEngine) {
 	slices.SortFunc(engines, func(a, b StageEngine) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -8,17 +8,19 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// The number of targets follows the demand: after the loss of any one availability zone, what is left
-// must still carry the promised share of it. Targets that can be reclaimed at short notice carry at
-// most a set part, and count as lost together with the zone that would hurt most.
+// The number of targets follows the demand: after the loss of any one availability zone, the remaining targets must
+// still carry the promised share of the demand. Cheap targets, which can be reclaimed at short notice, are limited to a
+// configured share of all targets.
 
 const (
-	fullUse        = 0.70
-	withdrawBelow  = 0.75
-	minimumTargets = 1
+	// plannedUtilization is the planned utilization of the targets that remain after the loss of a zone.
+	plannedUtilization = 0.70
+	// withdrawThreshold separates the levels at which targets are ordered and withdrawn.
+	withdrawThreshold = 0.75
+	minimumTargets    = 1
 )
 
-// TargetState is one target that is held, for a decision on where to order more.
+// TargetState is the state of one target as PlanTargets needs it.
 type TargetState struct {
 	ID       identifier.TargetID
 	Zone     identifier.ZoneID
@@ -27,7 +29,7 @@
 	Leaving  bool
 }
 
-// TargetInput is what a decision on target orders depends on; Needed is the demand in targets.
+// TargetInput is the input of PlanTargets; Needed is the demand in fully busy targets.
 type TargetInput struct {
 	Zones          []identifier.ZoneID
 	Targets        []TargetState
@@ -37,63 +39,63 @@
 	CheapShare     float64
 }
 
-// TargetChange is a target to acquire in a zone, or one to give back.
+// TargetChange is an order to acquire a target in a zone, or to withdraw one.
 type TargetChange struct {
 	Withdraw identifier.TargetID
 	Zone     identifier.ZoneID
 	Cheap    bool
 }
 
-// PlanTargets returns the target orders to place now.
-func PlanTargets(s TargetInput) []TargetChange {
-	wanted := max(minimumTargets, s.Needed*s.SurvivingShare/fullUse)
-	left := surviving(s.Targets)
+// PlanTargets returns the target orders to place now, at most one.
+func PlanTargets(in TargetInput) []TargetChange {
+	wanted := max(minimumTargets, in.Needed*in.SurvivingShare/plannedUtilization)
+	remaining := surviving(in.Targets)
 	switch {
-	case float64(left) < math.Ceil(wanted) && held(s.Targets) < s.Maximum:
-		zone := emptiest(s)
+	case float64(remaining) < math.Ceil(wanted) && countStaying(in.Targets) < in.Maximum:
+		zone := emptiestZone(in)
 		if zone == "" {
 			return nil
 		}
-		return []TargetChange{{Zone: zone, Cheap: mayBeCheap(s)}}
-	case float64(left-1) >= math.Ceil(wanted/withdrawBelow):
-		return withdrawOne(s)
+		return []TargetChange{{Zone: zone, Cheap: allowsCheap(in)}}
+	case float64(remaining-1) >= math.Ceil(wanted/withdrawThreshold):
+		return withdrawOne(in)
 	}
 	return nil
 }
 
-func held(holdings []TargetState) int {
+func countStaying(targets []TargetState) int {
 	n := 0
-	for _, h := range holdings {
-		if !h.Leaving {
+	for _, t := range targets {
+		if !t.Leaving {
 			n++
 		}
 	}
 	return n
 }
 
-// surviving returns how many targets remain if the zone that holds the most is lost.
-func surviving(holdings []TargetState) int {
-	byZone := countZones(holdings)
+// surviving returns how many targets remain if the zone with the most targets is lost.
+func surviving(targets []TargetState) int {
+	byZone := countZones(targets)
 	worst := 0
 	for _, n := range byZone {
 		worst = max(worst, n)
 	}
-	return held(holdings) - worst
+	return countStaying(targets) - worst
 }
 
-func countZones(holdings []TargetState) map[identifier.ZoneID]int {
+func countZones(targets []TargetState) map[identifier.ZoneID]int {
 	byZone := map[identifier.ZoneID]int{}
-	for _, h := range holdings {
-		if !h.Leaving {
-			byZone[h.Zone]++
+	for _, t := range targets {
+		if !t.Leaving {
+			byZone[t.Zone]++
 		}
 	}
 	return byZone
 }
 
-func emptiest(s TargetInput) identifier.ZoneID {
-	byZone := countZones(s.Targets)
-	zones := slices.Clone(s.Zones)
+func emptiestZone(in TargetInput) identifier.ZoneID {
+	byZone := countZones(in.Targets)
+	zones := slices.Clone(in.Zones)
 	slices.SortFunc(zones, func(a, b identifier.ZoneID) int {
 		return cmp.Or(cmp.Compare(byZone[a], byZone[b]), cmp.Compare(a, b))
 	})
@@ -103,20 +105,20 @@
 	return zones[0]
 }
 
-func mayBeCheap(s TargetInput) bool {
+func allowsCheap(in TargetInput) bool {
 	cheap := 0
-	for _, h := range s.Targets {
-		if h.Cheap && !h.Leaving {
+	for _, t := range in.Targets {
+		if t.Cheap && !t.Leaving {
 			cheap++
 		}
 	}
-	return float64(cheap+1) <= s.CheapShare*float64(held(s.Targets)+1)
+	return float64(cheap+1) <= in.CheapShare*float64(countStaying(in.Targets)+1)
 }
 
-// withdrawOne gives back an acquired target of the fullest zone, a dear one first.
-func withdrawOne(s TargetInput) []TargetChange {
-	byZone := countZones(s.Targets)
-	candidates := slices.DeleteFunc(slices.Clone(s.Targets), func(h TargetState) bool { return !h.Acquired || h.Leaving })
+// withdrawOne withdraws an acquired target of the zone with the most targets, regular ones first.
+func withdrawOne(in TargetInput) []TargetChange {
+	byZone := countZones(in.Targets)
+	candidates := slices.DeleteFunc(slices.Clone(in.Targets), func(t TargetState) bool { return !t.Acquired || t.Leaving })
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -129,8 +131,8 @@
 	return []TargetChange{{Withdraw: candidates[0].ID}}
 }
 
-func rankCheap(h TargetState) int {
-	if h.Cheap {
+func rankCheap(t TargetState) int {
+	if t.Cheap {
 		return 1
 	}
 	return 0
