--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -26,11 +26,11 @@
 		demands  []limiter.Demand
 		want     []float64
 	}{
-		"enough for all":             {10, []limiter.Demand{{Wanted: 2, Weight: 1}, {Wanted: 3, Weight: 1}}, []float64{2, 3}},
-		"equal weights":              {4, []limiter.Demand{{Wanted: 9, Weight: 1}, {Wanted: 9, Weight: 1}}, []float64{2, 2}},
-		"small demands are served":   {4, []limiter.Demand{{Wanted: 1, Weight: 1}, {Wanted: 9, Weight: 1}}, []float64{1, 3}},
-		"by weight":                  {4, []limiter.Demand{{Wanted: 9, Weight: 3}, {Wanted: 9, Weight: 1}}, []float64{3, 1}},
-		"without weight only wishes": {4, []limiter.Demand{{Wanted: 9}}, []float64{0}},
+		"enough for all":           {10, []limiter.Demand{{Wanted: 2, Weight: 1}, {Wanted: 3, Weight: 1}}, []float64{2, 3}},
+		"equal weights":            {4, []limiter.Demand{{Wanted: 9, Weight: 1}, {Wanted: 9, Weight: 1}}, []float64{2, 2}},
+		"small demands are served": {4, []limiter.Demand{{Wanted: 1, Weight: 1}, {Wanted: 9, Weight: 1}}, []float64{1, 3}},
+		"by weight":                {4, []limiter.Demand{{Wanted: 9, Weight: 3}, {Wanted: 9, Weight: 1}}, []float64{3, 1}},
+		"no weight gets nothing":   {4, []limiter.Demand{{Wanted: 9}}, []float64{0}},
 	} {
 		quicktest.Check(t, allowed(tc.capacity, tc.demands...), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
 	}
@@ -50,15 +50,15 @@
 			total += d.Allowed
 			level = max(level, d.Allowed/d.Weight)
 			if d.Allowed > d.Wanted+1e-9 {
-				t.Fatalf("%v gets more than it wants", d)
+				t.Fatalf("%v is allowed more than it wants", d)
 			}
 		}
 		if total > capacity+1e-6 {
-			t.Fatalf("%g of %g", total, capacity)
+			t.Fatalf("allowed %g in total, capacity %g", total, capacity)
 		}
 		for _, d := range demands {
 			if d.Allowed < d.Wanted-1e-6 && d.Allowed/d.Weight < level-1e-6 {
-				t.Fatalf("%v is short while another has more for its weight (%g)", d, level)
+				t.Fatalf("%v is limited although another demand has more per weight (%g)", d, level)
 			}
 		}
 	})
@@ -71,15 +71,15 @@
 	}{
 		"idle":                        {limiter.AdmissionInput{Predicted: 100 * time.Millisecond}, "Admitted"},
 		"overload, within the share":  {limiter.AdmissionInput{Predicted: 1200 * time.Millisecond, TeamRate: 0.1, TeamShare: 0.1}, "Admitted"},
-		"overload, beyond the share":  {limiter.AdmissionInput{Predicted: 1200 * time.Millisecond, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
-		"late tokens, over its share": {limiter.AdmissionInput{LateShare: 0.08, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
-		"out of reach":                {limiter.AdmissionInput{Predicted: 5 * time.Second}, "PromiseOutOfReach"},
+		"overload, over the share":    {limiter.AdmissionInput{Predicted: 1200 * time.Millisecond, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
+		"late tokens, over the share": {limiter.AdmissionInput{LateShare: 0.08, TeamRate: 0.3, TeamShare: 0.1}, "OverShare"},
+		"promise out of reach":        {limiter.AdmissionInput{Predicted: 5 * time.Second}, "PromiseOutOfReach"},
 		"all tokens late":             {limiter.AdmissionInput{LateShare: 0.5}, "PromiseOutOfReach"},
 	} {
 		tc.load.Promised = 1600 * time.Millisecond
-		v := limiter.Admit(tc.load)
-		quicktest.Check(t, v.Reason, quicktest.Equals, tc.reason, quicktest.Commentf(name))
-		quicktest.Check(t, v.Admitted || v.RetryAfter >= time.Second, quicktest.IsTrue, quicktest.Commentf("%s: no time to come back", name))
+		decision := limiter.Admit(tc.load)
+		quicktest.Check(t, decision.Reason, quicktest.Equals, tc.reason, quicktest.Commentf(name))
+		quicktest.Check(t, decision.Admitted || decision.RetryAfter >= time.Second, quicktest.IsTrue, quicktest.Commentf("%s: refused without a retry delay", name))
 	}
 }
 
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -9,88 +9,88 @@
 )
 
 const (
-	meterWindow  = 5 * time.Second
-	answerMemory = 32
+	rateDecayTime   = 5 * time.Second
+	averagedAnswers = 32
 )
 
-// RateKey is whose use of what a rate describes.
+// RateKey identifies a rate: the team whose requests it counts, empty for refused requests, and the model.
 type RateKey struct {
 	Team  identifier.TeamID
 	Model identifier.ModelID
 }
 
-// Rate is tokens per second of both kinds.
+// Rate is prompt and output tokens per second.
 type Rate struct {
 	Prompt float64
 	Output float64
 }
 
-// Meter keeps exponentially decaying token rates; the zero value is ready.
+// Meter keeps exponentially decaying token rates; the zero value is ready to use.
 type Meter struct {
-	mu      sync.Mutex
-	rates   map[RateKey]*decaying
-	answers map[identifier.ModelID]float64
+	mu            sync.Mutex
+	rates         map[RateKey]*decayingRate
+	answerLengths map[identifier.ModelID]float64
 }
 
-type decaying struct {
+type decayingRate struct {
 	rate Rate
 	at   time.Time
 }
 
-// Add counts tokens.
-func (m *Meter) Add(s RateKey, prompt, output identifier.Tokens) {
+// Add counts prompt and output tokens.
+func (m *Meter) Add(key RateKey, prompt, output identifier.Tokens) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.rates == nil {
-		m.rates = map[RateKey]*decaying{}
+		m.rates = map[RateKey]*decayingRate{}
 	}
-	d := m.rates[s]
+	d := m.rates[key]
 	if d == nil {
-		d = &decaying{at: time.Now()}
-		m.rates[s] = d
+		d = &decayingRate{at: time.Now()}
+		m.rates[key] = d
 	}
 	d.decay(time.Now())
-	d.rate.Prompt += float64(prompt) / meterWindow.Seconds()
-	d.rate.Output += float64(output) / meterWindow.Seconds()
+	d.rate.Prompt += float64(prompt) / rateDecayTime.Seconds()
+	d.rate.Output += float64(output) / rateDecayTime.Seconds()
 }
 
-// RecordAnswerLength notes the length of an answer.
+// RecordAnswerLength updates the model's average answer length.
 func (m *Meter) RecordAnswerLength(model identifier.ModelID, output identifier.Tokens) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.answers == nil {
-		m.answers = map[identifier.ModelID]float64{}
+	if m.answerLengths == nil {
+		m.answerLengths = map[identifier.ModelID]float64{}
 	}
-	m.answers[model] += (float64(output) - m.answers[model]) / answerMemory
+	m.answerLengths[model] += (float64(output) - m.answerLengths[model]) / averagedAnswers
 }
 
-// AddRefused counts the work of a refused request, with an answer of the usual length, under no team.
+// AddRefused counts the tokens that a refused request would have used, with an answer of average length, under no team.
 func (m *Meter) AddRefused(model identifier.ModelID, prompt identifier.Tokens) {
 	m.mu.Lock()
-	output := identifier.Tokens(m.answers[model])
+	output := identifier.Tokens(m.answerLengths[model])
 	m.mu.Unlock()
 	m.Add(RateKey{Model: model}, prompt, output)
 }
 
-// Rates returns the current rates of all subjects that are not idle.
+// Rates returns the current rates that are not close to zero.
 func (m *Meter) Rates() map[RateKey]Rate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	rates := make(map[RateKey]Rate, len(m.rates))
-	for s, d := range m.rates {
+	for key, d := range m.rates {
 		d.decay(now)
 		if d.rate.Prompt+d.rate.Output < 0.01 {
-			delete(m.rates, s)
+			delete(m.rates, key)
 			continue
 		}
-		rates[s] = d.rate
+		rates[key] = d.rate
 	}
 	return rates
 }
 
-func (d *decaying) decay(now time.Time) {
-	f := math.Exp(-now.Sub(d.at).Seconds() / meterWindow.Seconds())
+func (d *decayingRate) decay(now time.Time) {
+	f := math.Exp(-now.Sub(d.at).Seconds() / rateDecayTime.Seconds())
 	d.rate.Prompt *= f
 	d.rate.Output *= f
 	d.at = now
--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-const scarcity = 0.9
+const overloadFraction = 0.9
 
-// Demand is one team's use of a shared capacity and its weight.
+// Demand is one team's use of a shared capacity, its weight and its resulting share.
 type Demand struct {
 	Wanted  float64
 	Weight  float64
@@ -13,8 +13,8 @@
 
 // Share sets Allowed of each demand to its weighted max-min share of the capacity.
 //
-// Demands are taken in the order of wanted per weight. Each takes what it wants if that is no more
-// than its weight's part of what is left, so what small demands leave goes to the larger ones.
+// Demands are served in ascending order of wanted capacity per weight. Each gets what it wants, up to its weighted share
+// of the remaining capacity, so capacity that small demands leave unused goes to the larger ones.
 func Share(capacity float64, demands []Demand) {
 	order := make([]int, len(demands))
 	weights := 0.0
@@ -33,29 +33,29 @@
 		}
 		return a - b
 	})
-	left := capacity
+	remaining := capacity
 	for _, i := range order {
 		d := &demands[i]
 		if weights <= 0 {
 			d.Allowed = 0
 			continue
 		}
-		d.Allowed = min(d.Wanted, max(0, left)*d.Weight/weights)
-		left -= d.Allowed
+		d.Allowed = min(d.Wanted, max(0, remaining)*d.Weight/weights)
+		remaining -= d.Allowed
 		weights -= d.Weight
 	}
 }
 
-// OverloadCapacity is the capacity to share out under overload: a little less than what all demands use now.
+// OverloadCapacity returns the capacity to share under overload: slightly less than all demands use now.
 func OverloadCapacity(demands []Demand) float64 {
 	total := 0.0
 	for _, d := range demands {
 		total += d.Wanted
 	}
-	return total * scarcity
+	return total * overloadFraction
 }
 
-// Cost returns the part of the capacity that a rate of tokens takes up, of prefill and of decode together.
+// Cost returns the share of the prefill capacity plus the share of the decode capacity that a token rate uses.
 func Cost(r Rate, prefillPerSecond, decodePerSecond float64) float64 {
 	cost := 0.0
 	if prefillPerSecond > 0 {
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Budget allows retries up to a share of the requests seen; the zero value allows none.
+// Budget is a token bucket that allows retries up to a fraction of the requests; the zero value allows none.
 type Budget struct {
-	// Ratio is the number of retries earned by each request.
+	// Ratio is the number of retries that each request adds.
 	Ratio float64
-	// Burst is the greatest number of retries that can be saved up.
+	// Burst is the largest number of retries that can accumulate, and the number available at the start.
 	Burst float64
 
-	mu      sync.Mutex
-	started bool
-	saved   float64
+	mu        sync.Mutex
+	started   bool
+	available float64
 }
 
 // AddRequest counts a request.
@@ -19,25 +19,25 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
-	b.saved = min(b.Burst, b.saved+b.Ratio)
+	b.available = min(b.Burst, b.available+b.Ratio)
 }
 
-// TakeRetry reports whether one more retry is allowed, and spends it.
+// TakeRetry reports whether another retry is allowed and, if so, deducts it.
 func (b *Budget) TakeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
-	if b.saved < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.saved--
+	b.available--
 	return true
 }
 
-// start grants the reserve once.
+// start fills the budget on first use.
 func (b *Budget) start() {
 	if !b.started {
 		b.started = true
-		b.saved = b.Burst
+		b.available = b.Burst
 	}
 }
--- a/internal/retrier/doc.go
+++ b/internal/retrier/doc.go
@@ -1,2 +1,2 @@
-// Package retrier bounds retries to a share of recent requests.
+// Package retrier limits retries to a fraction of recent requests.
 package retrier
--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// buckets is into how many parts the window of a Windowed budget slides.
-	buckets = 10
-	// safety is the part of the allowance that is used: other instances count their members a little differently,
-	// and what a restarted instance spent before is forgotten.
-	safety = 0.7
+	// bucketCount is the number of buckets in the sliding window of a WindowedBudget.
+	bucketCount = 10
+	// safetyFactor is the fraction of the allowance that is used: instances may count their members differently, and a
+	// restarted instance forgets the retries that it made before.
+	safetyFactor = 0.7
 )
 
-// WindowedBudget is one instance's share of a budget that all instances have in common; fields must be set before use.
+// WindowedBudget is one instance's share of a retry budget that all instances have in common; its exported fields must
+// be set before use.
 //
-// In any window the retries of all instances stay under Ratio times the requests plus Slack: each instance takes
-// Ratio of its own requests, and an even part of the slack.
+// In any window the retries of all instances stay under Ratio times the requests plus Slack: each instance may use
+// Ratio times its own requests plus an equal share of Slack.
 type WindowedBudget struct {
 	Ratio       float64
 	Slack       float64
@@ -26,13 +27,13 @@
 	MemberCount func() int
 
 	mu       sync.Mutex
-	services map[identifier.ServiceID]*sliding
+	services map[identifier.ServiceID]*slidingWindow
 }
 
-type sliding struct {
-	requests [buckets + 1]float64
-	retries  [buckets + 1]float64
-	at       int64
+type slidingWindow struct {
+	requests [bucketCount + 1]float64
+	retries  [bucketCount + 1]float64
+	latest   int64
 }
 
 // AddRequest counts a request to a service.
@@ -40,42 +41,42 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
-	s.requests[s.at%int64(len(s.requests))]++
+	s.requests[s.latest%int64(len(s.requests))]++
 }
 
-// TakeRetry reports whether one more retry to a service is allowed, and spends it.
+// TakeRetry reports whether another retry to a service is allowed and, if so, counts it.
 func (w *WindowedBudget) TakeRetry(service identifier.ServiceID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
-	allowed := safety * (w.Ratio*sum(s.requests) + w.Slack/float64(max(1, w.MemberCount())))
+	allowed := safetyFactor * (w.Ratio*sum(s.requests) + w.Slack/float64(max(1, w.MemberCount())))
 	if sum(s.retries)+1 > allowed {
 		return false
 	}
-	s.retries[s.at%int64(len(s.retries))]++
+	s.retries[s.latest%int64(len(s.retries))]++
 	return true
 }
 
-// slide empties the buckets that have left the window.
-func (w *WindowedBudget) slide(service identifier.ServiceID, now time.Time) *sliding {
+// slide clears the buckets that have left the window and returns the window of the service.
+func (w *WindowedBudget) slide(service identifier.ServiceID, now time.Time) *slidingWindow {
 	if w.services == nil {
-		w.services = map[identifier.ServiceID]*sliding{}
+		w.services = map[identifier.ServiceID]*slidingWindow{}
 	}
 	s := w.services[service]
 	if s == nil {
-		s = &sliding{}
+		s = &slidingWindow{}
 		w.services[service] = s
 	}
-	at := now.UnixNano() / max(1, int64(w.Window)/buckets)
-	for i := max(s.at+1, at-int64(len(s.requests))+1); i <= at; i++ {
+	current := now.UnixNano() / max(1, int64(w.Window)/bucketCount)
+	for i := max(s.latest+1, current-int64(len(s.requests))+1); i <= current; i++ {
 		s.requests[i%int64(len(s.requests))] = 0
 		s.retries[i%int64(len(s.retries))] = 0
 	}
-	s.at = max(s.at, at)
+	s.latest = max(s.latest, current)
 	return s
 }
 
-func sum(values [buckets + 1]float64) float64 {
+func sum(values [bucketCount + 1]float64) float64 {
 	total := 0.0
 	for _, v := range values {
 		total += v
--- a/internal/retrier/windowed_test.go
+++ b/internal/retrier/windowed_test.go
@@ -10,23 +10,24 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/retrier"
 )
 
-// TestWindowed has eight instances retry as often as they may, at a steady load, and counts in every window.
+// TestWindowed lets eight instances retry as often as allowed at a constant load, and checks that their retries together
+// stay within the budget in every window, and that the budget is used.
 func TestWindowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, ratio, slack = 8, 0.2, 56.0
-		var all []*retrier.WindowedBudget
+		var budgets []*retrier.WindowedBudget
 		for range members {
-			all = append(all, &retrier.WindowedBudget{Ratio: ratio, Slack: slack, Window: 10 * time.Second, MemberCount: func() int { return members }})
+			budgets = append(budgets, &retrier.WindowedBudget{Ratio: ratio, Slack: slack, Window: 10 * time.Second, MemberCount: func() int { return members }})
 		}
 		var requests, retries []int
 		for tick := range 600 {
 			requests, retries = append(requests, 0), append(retries, 0)
-			for _, w := range all {
+			for _, budget := range budgets {
 				if tick%2 == 0 {
-					w.AddRequest("s")
+					budget.AddRequest("s")
 					requests[tick]++
 				}
-				for w.TakeRetry("s") {
+				for budget.TakeRetry("s") {
 					retries[tick]++
 				}
 			}
@@ -45,6 +46,6 @@
 			quicktest.Assert(t, float64(got) <= allowed, quicktest.IsTrue, quicktest.Commentf("%d retries in the window from %d, %.0f allowed", got, from, allowed))
 			total = max(total, got)
 		}
-		quicktest.Assert(t, total > 50, quicktest.IsTrue, quicktest.Commentf("the budget is used: %d", total))
+		quicktest.Assert(t, total > 50, quicktest.IsTrue, quicktest.Commentf("%d retries in the busiest window: the budget is not used", total))
 	})
 }
