--- a/internal/matcher/configuration.go
+++ b/internal/matcher/configuration.go
@@ -6,38 +6,38 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether requests of a route may be repeated, and how they are answered.
 type Kind int
 
 // Kinds of routes.
 const (
-	// Unsafe requests run at most once; it is the zero value because it allows least.
+	// Unsafe requests run at most once; this is the zero value because it is the most restrictive.
 	Unsafe Kind = iota
-	// Safe requests may run again.
+	// Safe requests may run more than once.
 	Safe
-	// Stream requests are answered by events; they run once unless the route is resumable.
+	// Stream requests are answered by a stream of events; they run at most once unless the route is resumable.
 	Stream
 )
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service and its share of a route's requests.
 type WeightedService struct {
 	Service identifier.ServiceID
 	Weight  float64
 }
 
-// Route says where requests of a host and path prefix go and what they are promised.
+// Route maps requests of a host and path prefix to services, with the promised latencies.
 type Route struct {
 	ID     identifier.RouteID
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time until the final answer.
+	// Timeout is the longest time until the answer is complete.
 	Timeout time.Duration
-	// Latency is the promised time to the answer or first event.
+	// Latency is the promised time to the answer or its first event.
 	Latency time.Duration
-	// MaximumEventGap is the longest promised time between two events.
+	// MaximumEventGap is the promised longest time between two events.
 	MaximumEventGap time.Duration
-	// Priority ranks routes; 0 comes first.
+	// Priority orders requests; 0 is the most urgent.
 	Priority   int
 	Services   []WeightedService
 	Attempts   int
@@ -46,20 +46,20 @@
 	Resumable  bool
 }
 
-// Repeatable tells that a request of the route may run again from its beginning.
+// Repeatable reports whether a request of the route may run again from its beginning.
 func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// Engine is what all model targets of a service have in common.
+// Engine holds the properties that all model targets of a service share.
 type Engine struct {
 	Slots       int
 	CacheTokens identifier.Tokens
-	// SwitchTime is how long a change of role takes.
+	// SwitchTime is how long a change of stage takes.
 	SwitchTime time.Duration
-	// HandleLifetime is how long an exported KV cache is kept.
+	// HandleLifetime is how long a target keeps an exported KV cache.
 	HandleLifetime time.Duration
 }
 
-// Scaling bounds how many targets of a service may be ordered, in each availability zone.
+// Scaling limits how many targets of a service may be ordered in each availability zone, and describes their cost.
 type Scaling struct {
 	Minimum            int
 	Maximum            int
@@ -68,18 +68,18 @@
 	Prices             map[identifier.ZoneID]float64
 }
 
-// Service is a group of alike targets.
+// Service is a group of interchangeable targets.
 type Service struct {
 	ID              identifier.ServiceID
 	HealthPath      string
 	ConnectionLimit int
 	// Engine is nil for plain services.
 	Engine *Engine
-	// Scaling is nil where targets can't be ordered.
+	// Scaling is nil if targets can't be ordered.
 	Scaling *Scaling
 }
 
-// Limits bounds what a client may send.
+// Limits limits the size and duration of client requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -87,15 +87,15 @@
 	IdleTimeout   time.Duration
 }
 
-// Team is a tenant of the fleet with its keys.
+// Team is a tenant with its API keys.
 type Team struct {
 	ID   identifier.TeamID
 	Keys []string
-	// Priority replaces that of the route where it is set.
+	// Priority overrides the route's priority if set.
 	Priority *int
 }
 
-// Configuration is one version of what operators publish.
+// Configuration is one version of the published configuration.
 type Configuration struct {
 	Version  identifier.Version
 	Routes   []Route
--- a/internal/matcher/table.go
+++ b/internal/matcher/table.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Table answers look-ups in one version of the configuration; the zero value knows nothing.
+// Table answers look-ups in one version of the configuration; the zero value is empty.
 type Table struct {
 	Configuration
 	byHost   map[string][]*Route
@@ -16,7 +16,7 @@
 	teams    map[string]*Team
 }
 
-// New prepares the look-ups of a configuration.
+// New returns a table of the configuration.
 func New(cfg Configuration) *Table {
 	t := &Table{
 		Configuration: cfg,
@@ -26,7 +26,7 @@
 	}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		host := normalHost(r.Host)
+		host := normalizeHost(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
 	}
 	for _, routes := range t.byHost {
@@ -43,9 +43,9 @@
 	return t
 }
 
-// Route returns the route of the host with the longest prefix of path, or nil.
+// Route returns the host's route with the longest matching prefix of path, or nil.
 func (t *Table) Route(host, path string) *Route {
-	for _, r := range t.byHost[normalHost(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -53,27 +53,27 @@
 	return nil
 }
 
-// Service returns a service, or nil.
+// Service returns the service, or nil if it is not configured.
 func (t *Table) Service(id identifier.ServiceID) *Service { return t.services[id] }
 
-// Team returns the team that holds the key, or nil.
+// Team returns the team that the key belongs to, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// RequiresKey tells that requests need a key unless their route is public.
+// RequiresKey reports whether requests need a key; requests of public routes never do.
 func (t *Table) RequiresKey() bool { return len(t.Teams) > 0 }
 
-// PickService returns the service at a point from 0 to 1 of the route's weights.
+// PickService returns the service at a point of the route's cumulative weights, from 0 to 1.
 func (r *Route) PickService(point float64) identifier.ServiceID {
 	total := 0.0
 	for _, s := range r.Services {
 		total += s.Weight
 	}
-	left := point * total
+	offset := point * total
 	for _, s := range r.Services {
-		if left < s.Weight {
+		if offset < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
+		offset -= s.Weight
 	}
 	if len(r.Services) == 0 {
 		return ""
@@ -81,7 +81,7 @@
 	return r.Services[len(r.Services)-1].Service
 }
 
-// EffectivePriority is the urgency of a request: the team's, where it has one, goes before the route's.
+// EffectivePriority returns the priority of a request: the team's if set, else the route's.
 func EffectivePriority(r *Route, team *Team) int {
 	if team != nil && team.Priority != nil {
 		return *team.Priority
@@ -89,8 +89,8 @@
 	return r.Priority
 }
 
-// normalHost drops the port and the case of a host.
-func normalHost(host string) string {
+// normalizeHost removes the port and lowers the case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
