--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// nearEnough is how many instances of the client's own availability zone are named without others.
-	nearEnough = 2
-	// most is how many addresses a client takes.
-	most = 64
+	// minimumInstances is the number of instances in the client's availability zone below which all zones are used.
+	minimumInstances = 2
+	// maximumInstances is how many addresses a client accepts.
+	maximumInstances = 64
 )
 
-// Choose returns the instances to name to a client of an availability zone: those of its own zone, where there are
-// enough. Clients pick one at random, so an instance weaker than the median is named in as many answers as it is
-// weaker; draw returns numbers from 0 to 1.
-func Choose(ready []*gossiper.Member, zone identifier.ZoneID, draw func() float64) []*gossiper.Member {
-	var near []*gossiper.Member
+// Choose returns the instances to offer to a client in an availability zone: those of its own zone if there are enough,
+// else those of all zones. Clients pick one at random, so an instance with less than the median capacity is offered in
+// a correspondingly smaller fraction of the answers; random returns numbers from 0 to 1.
+func Choose(ready []*gossiper.Member, zone identifier.ZoneID, random func() float64) []*gossiper.Member {
+	var nearby []*gossiper.Member
 	for _, m := range ready {
 		if m.Zone == string(zone) {
-			near = append(near, m)
+			nearby = append(nearby, m)
 		}
 	}
-	if len(near) < nearEnough {
-		near = ready
+	if len(nearby) < minimumInstances {
+		nearby = ready
 	}
-	median := medianCapacity(near)
-	var named []*gossiper.Member
-	for _, m := range near {
-		if float64(m.Capacity) >= draw()*median {
-			named = append(named, m)
+	median := medianCapacity(nearby)
+	var chosen []*gossiper.Member
+	for _, m := range nearby {
+		if float64(m.Capacity) >= random()*median {
+			chosen = append(chosen, m)
 		}
 	}
-	if len(named) < min(nearEnough, len(near)) {
-		named = near
+	if len(chosen) < min(minimumInstances, len(nearby)) {
+		chosen = nearby
 	}
-	return named[:min(len(named), most)]
+	return chosen[:min(len(chosen), maximumInstances)]
 }
 
 func medianCapacity(members []*gossiper.Member) float64 {
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -20,24 +20,25 @@
 }
 
 func TestChoose(t *testing.T) {
-	always := func() float64 { return 0 }
-	quicktest.Check(t, director.Choose(nil, "z0", always), quicktest.HasLen, 0)
-	quicktest.Check(t, director.Choose(members(4, 4, 4, 4), "z0", always), quicktest.HasLen, 2, quicktest.Commentf("its own zone"))
-	quicktest.Check(t, director.Choose(members(4, 4, 4), "z1", always), quicktest.HasLen, 3, quicktest.Commentf("one alone may fail"))
-	quicktest.Check(t, director.Choose(members(4, 4, 4), "elsewhere", always), quicktest.HasLen, 3)
-	quicktest.Check(t, len(director.Choose(members(make([]uint32, 300)...), "z0", always)) <= 64, quicktest.IsTrue)
+	zero := func() float64 { return 0 }
+	quicktest.Check(t, director.Choose(nil, "z0", zero), quicktest.HasLen, 0)
+	quicktest.Check(t, director.Choose(members(4, 4, 4, 4), "z0", zero), quicktest.HasLen, 2, quicktest.Commentf("only the client's zone"))
+	quicktest.Check(t, director.Choose(members(4, 4, 4), "z1", zero), quicktest.HasLen, 3, quicktest.Commentf("a single instance in the zone may fail"))
+	quicktest.Check(t, director.Choose(members(4, 4, 4), "elsewhere", zero), quicktest.HasLen, 3)
+	quicktest.Check(t, len(director.Choose(members(make([]uint32, 300)...), "z0", zero)) <= 64, quicktest.IsTrue)
 }
 
-// TestWeakOnesAreNamedLess counts how often each instance is named when some have a tenth of the others' capacity.
-func TestWeakOnesAreNamedLess(t *testing.T) {
+// TestWeakInstancesAreOfferedLess counts how often each instance is offered when one has a tenth of the capacity of the
+// others.
+func TestWeakInstancesAreOfferedLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	named := map[string]int{}
+	offered := map[string]int{}
 	list := members(100, 0, 1000, 0, 1000, 0, 1000, 0)
 	for range 1000 {
 		for _, m := range director.Choose(list, "z0", rng.Float64) {
-			named[m.ID]++
+			offered[m.ID]++
 		}
 	}
-	quicktest.Check(t, named["0"] > 60 && named["0"] < 160, quicktest.IsTrue, quicktest.Commentf("%d of 1000", named["0"]))
-	quicktest.Check(t, named["2"], quicktest.Equals, 1000)
+	quicktest.Check(t, offered["0"] > 60 && offered["0"] < 160, quicktest.IsTrue, quicktest.Commentf("%d of 1000", offered["0"]))
+	quicktest.Check(t, offered["2"], quicktest.Equals, 1000)
 }
--- a/internal/director/doc.go
+++ b/internal/director/doc.go
@@ -1,2 +1,2 @@
-// Package director chooses which entry instances a client may connect to; it does no I/O.
+// Package director chooses the entry instances whose addresses a client receives; it does no I/O.
 package director
