--- a/internal/demander/demander.go
+++ b/internal/demander/demander.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// rateTime is the time over which a rate is averaged.
-	rateTime = 2 * time.Second
-	// peakHalfLife is how fast a peak is forgotten: swings of the mix come within tens of seconds.
+	// rateDecayTime is the time constant of the rate average.
+	rateDecayTime = 2 * time.Second
+	// peakHalfLife is the half-life of a peak: the request mix changes within tens of seconds.
 	peakHalfLife = 60 * time.Second
-	// peerLife is how long a peer's rate counts without news of it.
-	peerLife = 3 * time.Second
-	// engineTokensPerSecond is what an engine of the users' sheets computes of prompts.
+	// peerTimeout is how long a peer's rate counts without an update.
+	peerTimeout = 3 * time.Second
+	// engineTokensPerSecond is the prefill rate of an engine on the users' specification sheets.
 	engineTokensPerSecond = 36_700
-	// idleRate is the rate below which a service counts as idle, in tokens per second.
-	idleRate = 1
-	// warmUp is how long rates are sampled before a peak is told.
-	warmUp = 4
+	// idleTokensPerSecond is the rate below which a service counts as idle.
+	idleTokensPerSecond = 1
+	// warmUpSamples is the number of samples above idle before a peak is known.
+	warmUpSamples = 4
 )
 
-// Demand is the demand of all services; the zero value is ready.
+// Demand tracks the demand of all services; the zero value is ready to use.
 type Demand struct {
 	mu       sync.Mutex
 	services map[identifier.ServiceID]*service
 }
 
 type service struct {
-	own     float64
+	local   float64
 	at      time.Time
 	peers   map[string]peerRate
 	peak    float64
@@ -42,29 +42,29 @@
 	at   time.Time
 }
 
-// Add notes prompt tokens that a request asks an engine to compute.
+// Add counts the prompt tokens that a request needs to prefill.
 func (d *Demand) Add(id identifier.ServiceID, tokens identifier.Tokens, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.service(id)
-	s.fade(now)
-	s.own += float64(tokens) / rateTime.Seconds()
+	s.decay(now)
+	s.local += float64(tokens) / rateDecayTime.Seconds()
 }
 
-// LocalRates returns this instance's rates in tokens per second.
+// LocalRates returns this instance's rates in tokens per second, without idle services.
 func (d *Demand) LocalRates(now time.Time) map[identifier.ServiceID]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	own := map[identifier.ServiceID]float64{}
+	local := map[identifier.ServiceID]float64{}
 	for id, s := range d.services {
-		if s.fade(now); s.own > idleRate {
-			own[id] = s.own
+		if s.decay(now); s.local > idleTokensPerSecond {
+			local[id] = s.local
 		}
 	}
-	return own
+	return local
 }
 
-// SetPeerRate notes a peer's rate.
+// SetPeerRate records a peer's reported rate in tokens per second.
 func (d *Demand) SetPeerRate(peer string, id identifier.ServiceID, rate float64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,33 +75,33 @@
 	s.peers[peer] = peerRate{rate, now}
 }
 
-// Sample takes the present rates into the peaks; it is called once a second.
+// Sample updates the peaks with the current rates; it must be called once a second.
 func (d *Demand) Sample(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.services {
-		s.fade(now)
-		total := s.own
+		s.decay(now)
+		total := s.local
 		for peer, p := range s.peers {
-			if now.Sub(p.at) > peerLife {
+			if now.Sub(p.at) > peerTimeout {
 				delete(s.peers, peer)
 				continue
 			}
 			total += p.rate
 		}
-		if total > idleRate {
+		if total > idleTokensPerSecond {
 			s.samples++
 		}
 		s.peak = max(total, s.peak*math.Exp2(-1/peakHalfLife.Seconds()))
 	}
 }
 
-// Peak returns the highest demand of late in engines that are busy all the time; zero: not known yet.
+// Peak returns the recent peak demand in fully busy engines; zero means not known yet.
 func (d *Demand) Peak(id identifier.ServiceID) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.services[id]
-	if s == nil || s.samples < warmUp {
+	if s == nil || s.samples < warmUpSamples {
 		return 0
 	}
 	return s.peak / engineTokensPerSecond
@@ -119,9 +119,9 @@
 	return s
 }
 
-func (s *service) fade(now time.Time) {
+func (s *service) decay(now time.Time) {
 	if !s.at.IsZero() {
-		s.own *= math.Exp(-now.Sub(s.at).Seconds() / rateTime.Seconds())
+		s.local *= math.Exp(-now.Sub(s.at).Seconds() / rateDecayTime.Seconds())
 	}
 	s.at = now
 }
--- a/internal/demander/demander_test.go
+++ b/internal/demander/demander_test.go
@@ -9,7 +9,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/demander"
 )
 
-// TestPeak follows a burst: the demand of this instance and of a peer, remembered while it fades.
+// TestPeak checks that the peak adds up the demand of this instance and of a peer during a burst, and halves a minute
+// later.
 func TestPeak(t *testing.T) {
 	var d demander.Demand
 	now := time.Unix(1000, 0)
@@ -21,12 +22,12 @@
 		d.Sample(now)
 	}
 	peak := d.Peak("s")
-	quicktest.Assert(t, peak > 1.8 && peak < 2.6, quicktest.IsTrue, quicktest.Commentf("%.2f engines for a demand of two", peak))
+	quicktest.Assert(t, peak > 1.8 && peak < 2.6, quicktest.IsTrue, quicktest.Commentf("peak of %.2f engines for a demand of two", peak))
 	for range 60 {
 		now = now.Add(time.Second)
 		d.Sample(now)
 	}
-	faded := d.Peak("s")
-	quicktest.Assert(t, faded > 0.4*peak && faded < 0.6*peak, quicktest.IsTrue, quicktest.Commentf("%.2f a minute later", faded))
+	decayed := d.Peak("s")
+	quicktest.Assert(t, decayed > 0.4*peak && decayed < 0.6*peak, quicktest.IsTrue, quicktest.Commentf("peak of %.2f engines a minute later", decayed))
 	quicktest.Assert(t, d.LocalRates(now), quicktest.HasLen, 0)
 }
--- a/internal/demander/doc.go
+++ b/internal/demander/doc.go
@@ -1,2 +1,2 @@
-// Package demander measures the demand for prompts of each service, here and at peers, and remembers its peak.
+// Package demander measures the prefill demand of each service, on this instance and on its peers, and its recent peak.
 package demander
