--- a/internal/registrar/doc.go
+++ b/internal/registrar/doc.go
@@ -1,2 +1,2 @@
-// Package registrar keeps which targets exist, what role they have and which of them are leaving.
+// Package registrar keeps the list of targets with their stages, and whether they are leaving.
 package registrar
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -11,89 +11,89 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Stage is the part of a request that a model target takes.
+// Stage is the step of model requests that a target runs.
 type Stage int
 
 // Stages of targets.
 const (
-	// AnyStage is that of plain targets.
+	// AnyStage is the stage of plain targets.
 	AnyStage Stage = iota
-	// PrefillStage computes prompts for other targets.
+	// PrefillStage computes the KV cache of prompts for other targets.
 	PrefillStage
-	// DecodeStage generates tokens.
+	// DecodeStage generates answer tokens.
 	DecodeStage
 )
 
 // String returns the stage's name in logs.
 func (s Stage) String() string { return [...]string{"Any", "Prompts", "Answers"}[s] }
 
-// Target is one incarnation of a target as it describes itself.
+// Target is the newest entry of one incarnation of a target.
 type Target struct {
 	ID      identifier.TargetID
 	Service identifier.ServiceID
 	Address string
 	Zone    identifier.ZoneID
 	Stage   Stage
-	// Leaving targets take no new work.
+	// Leaving targets accept no new requests.
 	Leaving bool
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// WarmUpRemaining is how much longer it stays slow after its start, as of its entry.
+	// WarmUpRemaining is how much longer it stays slow after its start, counted from its entry.
 	WarmUpRemaining time.Duration
-	// StartedAt is its start; another one means that everything it held is gone.
+	// StartedAt is its start time; a different one means a new incarnation, whose cache is empty.
 	StartedAt time.Time
-	// Sequence numbers what the target said of itself since its start.
+	// Sequence numbers the target's entries since its start.
 	Sequence uint64
 	// Cheap targets may be reclaimed at short notice.
 	Cheap bool
 }
 
-// reappearance is how long a lapsed target may take to be back after the store's return.
-const reappearance = 2 * time.Second
+// returnTimeout is how long after the end of a store outage a target whose entry has lapsed may take to renew it.
+const returnTimeout = 2 * time.Second
 
-// last is the newest of what one incarnation of a target said; it outlives the target's entry.
-type last struct {
-	born    time.Time
-	beat    uint64
-	leaving bool
-	at      time.Time
+// lastEntry is what is kept of the newest entry of one incarnation of a target, also after the entry is removed.
+type lastEntry struct {
+	startedAt time.Time
+	sequence  uint64
+	leaving   bool
+	at        time.Time
 }
 
-// lastLife is how long it is kept: entries that were held up come within seconds.
-const lastLife = time.Minute
+// lastEntryLifetime is how long it is kept: delayed entries arrive within seconds.
+const lastEntryLifetime = time.Minute
 
-// order is a stage that a target was told to change to.
-type order struct {
+// pendingOrder is an order to change a target's stage.
+type pendingOrder struct {
 	stage Stage
 	until time.Time
 }
 
-// Registrar folds target entries into a list; the zero value is empty.
+// Registrar folds target entries into a list; the zero value is an empty list.
 type Registrar struct {
-	// StoreRestoredAt answers when the store last came back after an outage; zero: never away.
+	// StoreRestoredAt returns the end of the store's last outage, or the zero time if there was none.
 	StoreRestoredAt func() time.Time
 
 	mu     sync.Mutex
 	byID   map[identifier.TargetID]*Target
 	lapsed map[identifier.TargetID]time.Time
-	orders map[identifier.TargetID]order
-	last   map[identifier.TargetID]last
+	orders map[identifier.TargetID]pendingOrder
+	last   map[identifier.TargetID]lastEntry
 	list   atomic.Pointer[[]*Target]
 }
 
-// Put adds or replaces a target, unless the entry is older than what is known of the same incarnation; it reports
-// whether the entry was taken.
+// Put adds or replaces a target, unless the entry is older than the newest one of the same incarnation, or would revoke
+// its leaving. It reports whether the entry was accepted.
 func (r *Registrar) Put(t Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.last[t.ID]
-	if same := l.born.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Sequence < l.beat || l.leaving && !t.Leaving) {
+	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Sequence < l.sequence || l.leaving && !t.Leaving) {
 		return false
 	}
 	if r.last == nil {
-		r.last = map[identifier.TargetID]last{}
+		r.last = map[identifier.TargetID]lastEntry{}
 	}
-	r.last[t.ID] = last{born: t.StartedAt, beat: t.Sequence, leaving: t.Leaving, at: now}
+	r.last[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Sequence, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
@@ -103,7 +103,8 @@
 	return true
 }
 
-// Remove removes a target: at once, or, around an outage of the store, unless it is back soon.
+// Remove removes a target whose entry is gone. Shortly after an outage of the store, a target that was not leaving is
+// kept, and Expire removes it unless its entry returns.
 func (r *Registrar) Remove(id identifier.TargetID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +113,7 @@
 		return
 	}
 	if !t.Leaving && r.StoreRestoredAt != nil {
-		if until := r.StoreRestoredAt().Add(reappearance); now.Before(until) {
+		if until := r.StoreRestoredAt().Add(returnTimeout); now.Before(until) {
 			if r.lapsed == nil {
 				r.lapsed = map[identifier.TargetID]time.Time{}
 			}
@@ -124,13 +125,13 @@
 	r.publish()
 }
 
-// Expire removes lapsed targets that did not come back.
+// Expire removes lapsed targets whose entries did not return in time, and forgets old orders and entries.
 func (r *Registrar) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.orders, func(_ identifier.TargetID, o order) bool { return now.After(o.until) })
+	maps.DeleteFunc(r.orders, func(_ identifier.TargetID, o pendingOrder) bool { return now.After(o.until) })
 	for id, l := range r.last {
-		if r.byID[id] == nil && now.Sub(l.at) > lastLife {
+		if r.byID[id] == nil && now.Sub(l.at) > lastEntryLifetime {
 			delete(r.last, id)
 		}
 	}
@@ -143,7 +144,7 @@
 	}
 }
 
-// Targets returns all targets in the order of their ids; the list and what it points to never change.
+// Targets returns all targets sorted by id; the list and its targets must not be changed.
 func (r *Registrar) Targets() []*Target {
 	list := r.list.Load()
 	if list == nil {
@@ -152,7 +153,7 @@
 	return *list
 }
 
-// NotLeaving returns the targets of a service that do not leave.
+// NotLeaving returns the targets of a service that are not leaving.
 func (r *Registrar) NotLeaving(service identifier.ServiceID) []*Target {
 	var list []*Target
 	for _, t := range r.Targets() {
@@ -163,7 +164,7 @@
 	return list
 }
 
-// Available returns the targets of a service that take new work: they do not leave, and change no stage.
+// Available returns the targets of a service that accept new requests: they are neither leaving nor changing stage.
 func (r *Registrar) Available(service identifier.ServiceID, now time.Time) []*Target {
 	list := r.NotLeaving(service)
 	r.mu.Lock()
@@ -174,7 +175,7 @@
 	})
 }
 
-// StageOrder is a change of stage that is not over yet.
+// StageOrder is a pending change of a target's stage.
 type StageOrder struct {
 	Target    identifier.TargetID
 	Service   identifier.ServiceID
@@ -182,7 +183,7 @@
 	Remaining time.Duration
 }
 
-// PendingOrders returns the changes of stages that are not over yet.
+// PendingOrders returns the stage changes that are not complete.
 func (r *Registrar) PendingOrders(now time.Time) []StageOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,15 +196,15 @@
 	return list
 }
 
-// RecordOrder notes that a target was told to change its stage; it counts as changing until its entry shows the stage, at
-// the latest until the given time.
+// RecordOrder records that a target was ordered to change its stage. It counts as changing until its entry shows the new
+// stage, but no longer than until the given time.
 func (r *Registrar) RecordOrder(id identifier.TargetID, stage Stage, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.orders == nil {
-		r.orders = map[identifier.TargetID]order{}
+		r.orders = map[identifier.TargetID]pendingOrder{}
 	}
-	r.orders[id] = order{stage, until}
+	r.orders[id] = pendingOrder{stage, until}
 }
 
 func (r *Registrar) publish() {
