--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,2 +1,2 @@
-// Package router chooses the target of a request from what is known of the candidates; it does no I/O.
+// Package router chooses the target of a request among candidates by predicted cost; it does no I/O.
 package router
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,38 +8,37 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// The choice has two steps.
+// Choose works in two steps.
 //
-// A few candidates are drawn: the ones that rendezvous hashing gives for the prompt's first piece, so
-// that all instances send the same prefix to the same targets without talking to each other, and some
-// at random, so that instances that saw the same late load report do not all pick the same target.
+// It first samples a few candidates: the owners of the prompt's first part by rendezvous hashing, so that all instances
+// send the same prefix to the same targets without coordination; random ones, so that instances that have the same stale
+// load report do not all choose the same target; and one random candidate of the request's availability zone.
 //
-// Of these the one with the lowest cost wins. The cost starts from the predicted time to first token:
-// the queue of the last report, what this instance sent since, the uncached part of the prompt over
-// the target's prefill rate, stretched as observed, the wait for a batch slot and the hop to another
-// availability zone. What a request does to the answers beside it is added: the crowding of the
-// batch, the share of late tokens there, and on a mixed engine the time that its prompt takes. A
-// target that is new costs more for a while.
+// It then chooses the one with the lowest cost. The cost starts from the predicted time to first token: the queue of the
+// last report, the requests that this instance has sent since, the uncached prompt tokens divided by the target's prefill
+// rate, multiplied by the observed slowdown, the wait for a batch slot and the delay to another availability zone. The
+// effect on answers that run on the same target is added: the use of the batch, the share of late tokens and, on a mixed
+// engine, the prefill time. A new target has an extra cost that falls to zero during its slow start.
 
 const (
-	affinityDraws = 2
-	randomDraws   = 3
-	maximumDraws  = affinityDraws + randomDraws + 1
-	pieceTokens   = 2000
-	zoneHop       = 2 * time.Millisecond
-	slowStart     = 10 * time.Second
-	slowStartCost = 400 * time.Millisecond
-	stallWeight   = 4.0
-	lateCost      = 500 * time.Millisecond
-	crowding      = 800 * time.Millisecond
+	affinityCandidates = 2
+	randomCandidates   = 3
+	maximumCandidates  = affinityCandidates + randomCandidates + 1
+	partTokens         = 2000
+	crossZoneDelay     = 2 * time.Millisecond
+	slowStartTime      = 10 * time.Second
+	slowStartCost      = 400 * time.Millisecond
+	stallWeight        = 4.0
+	lateTokensCost     = 500 * time.Millisecond
+	maximumBatchCost   = 800 * time.Millisecond
 )
 
-// Cache answers how many leading pieces of a prompt a target holds.
+// Cache reports how many leading parts of a prompt a target has cached.
 type Cache interface {
-	Hit(pieces []uint64) int
+	Hit(parts []uint64) int
 }
 
-// Candidate is what is known of a target.
+// Candidate is the state of a target as Choose needs it.
 type Candidate struct {
 	ID               identifier.TargetID
 	Hash             uint64
@@ -51,32 +50,32 @@
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int64
-	// BatchLimit is the number of answers at which tokens still come in time, as observed.
+	// BatchLimit is the observed number of concurrent answers up to which tokens are on time.
 	BatchLimit int64
 	Running    int64
 	FreeAt     time.Time
-	// PrefillSlowdown is how much longer prompts take than the prefill rate says, as observed; zero means 1.
+	// PrefillSlowdown is the observed ratio of the prefill time to that by the prefill rate; zero means 1.
 	PrefillSlowdown float64
-	// LateShare is the share of recent tokens that came later than promised after the one before.
+	// LateShare is the share of recent tokens whose gap to the previous token was longer than promised.
 	LateShare float64
 	Cache     Cache
 }
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	Zone         identifier.ZoneID
 	Role         recorder.Role
 	PromptTokens identifier.Tokens
 	Parts        []uint64
 	Random       uint64
-	// Prefilled tells that the prompt's KV cache is imported from another target.
+	// Prefilled is set if the prompt's KV cache is imported from another target.
 	Prefilled   bool
 	RefuseCheap bool
 	Allowed     func(identifier.TargetID) bool
 	Excluded    func(identifier.TargetID) bool
 }
 
-// Score is one candidate's prediction.
+// Score is the prediction for one candidate.
 type Score struct {
 	Index     int
 	Predicted time.Duration
@@ -85,18 +84,18 @@
 	Cached    identifier.Tokens
 }
 
-// Choice is the outcome of a decision; Scores lists what was compared.
+// Choice is the best candidate and the Compared first entries of Scores, the candidates that were compared.
 type Choice struct {
 	Best     Score
-	Scores   [maximumDraws]Score
+	Scores   [maximumCandidates]Score
 	Compared int
 }
 
-// Choose returns the best candidate for a request, or false where none is usable.
+// Choose returns the best candidate for a request, or false if no candidate is eligible.
 func Choose(now time.Time, req *Request, candidates []Candidate) (Choice, bool) {
 	var c Choice
-	for _, i := range draw(req, candidates) {
-		if i < 0 || c.has(i) {
+	for _, i := range sample(req, candidates) {
+		if i < 0 || c.contains(i) {
 			continue
 		}
 		c.add(predict(now, req, candidates, i))
@@ -104,7 +103,7 @@
 	return c, c.Compared > 0
 }
 
-func (c *Choice) has(i int) bool {
+func (c *Choice) contains(i int) bool {
 	for _, s := range c.Scores[:c.Compared] {
 		if s.Index == i {
 			return true
@@ -121,34 +120,35 @@
 	}
 }
 
-// draw returns candidate positions by affinity and at random; positions below zero are empty draws.
-func draw(req *Request, candidates []Candidate) [maximumDraws]int {
-	drawn := [maximumDraws]int{-1, -1, -1, -1, -1, -1}
-	var weights [maximumDraws]uint64
-	affinity := req.Random
+// sample returns the indexes of candidates by affinity, at random and at random in the request's zone; an index below
+// zero is an empty place.
+func sample(req *Request, candidates []Candidate) [maximumCandidates]int {
+	sampled := [maximumCandidates]int{-1, -1, -1, -1, -1, -1}
+	var weights [maximumCandidates]uint64
+	prefix := req.Random
 	if len(req.Parts) > 0 {
-		affinity = req.Parts[0]
+		prefix = req.Parts[0]
 	}
-	nearest := maximumDraws - 1
+	sameZone := maximumCandidates - 1
 	for i := range candidates {
 		if !eligible(req, &candidates[i]) {
 			continue
 		}
-		offer(&drawn, &weights, 0, affinityDraws, i, mix(affinity^candidates[i].Hash))
-		random := mix(req.Random + candidates[i].Hash)
-		offer(&drawn, &weights, affinityDraws, randomDraws, i, random)
-		if candidates[i].Zone == req.Zone && random >= weights[nearest] {
-			drawn[nearest], weights[nearest] = i, random
+		keepHighest(&sampled, &weights, 0, affinityCandidates, i, mixBits(prefix^candidates[i].Hash))
+		random := mixBits(req.Random + candidates[i].Hash)
+		keepHighest(&sampled, &weights, affinityCandidates, randomCandidates, i, random)
+		if candidates[i].Zone == req.Zone && random >= weights[sameZone] {
+			sampled[sameZone], weights[sameZone] = i, random
 		}
 	}
-	return drawn
+	return sampled
 }
 
-// offer keeps the positions with the highest weights among count slots from first on.
-func offer(drawn *[maximumDraws]int, weights *[maximumDraws]uint64, first, count, i int, weight uint64) {
+// keepHighest inserts index i if its weight is among the highest in the count places from first on.
+func keepHighest(sampled *[maximumCandidates]int, weights *[maximumCandidates]uint64, first, count, i int, weight uint64) {
 	for s := first; s < first+count; s++ {
-		if drawn[s] < 0 || weight > weights[s] {
-			drawn[s], i = i, drawn[s]
+		if sampled[s] < 0 || weight > weights[s] {
+			sampled[s], i = i, sampled[s]
 			weights[s], weight = weight, weights[s]
 			if i < 0 {
 				return
@@ -171,11 +171,12 @@
 	return true
 }
 
+// predict returns the predicted time to first token and the cost at candidate i.
 func predict(now time.Time, req *Request, candidates []Candidate, i int) Score {
 	c := &candidates[i]
 	cached := identifier.Tokens(0)
 	if c.Cache != nil {
-		cached = min(req.PromptTokens, identifier.Tokens(c.Cache.Hit(req.Parts)*pieceTokens))
+		cached = min(req.PromptTokens, identifier.Tokens(c.Cache.Hit(req.Parts)*partTokens))
 	}
 	wait := time.Duration(0)
 	if !req.Prefilled && c.PrefillPerSecond > 0 {
@@ -184,20 +185,20 @@
 	wait = time.Duration(float64(wait) * max(1, c.PrefillSlowdown))
 	wait += slotWait(c)
 	if c.Zone != req.Zone {
-		wait += zoneHop
+		wait += crossZoneDelay
 	}
-	cost := wait + crowd(c) + time.Duration(c.LateShare*float64(lateCost))
+	cost := wait + batchCost(c) + time.Duration(c.LateShare*float64(lateTokensCost))
 	if req.Role == recorder.Role_Mixed && !req.Prefilled {
-		cost += stall(c, req.PromptTokens-cached)
+		cost += stallCost(c, req.PromptTokens-cached)
 	}
-	if age := now.Sub(c.AddedAt); age < slowStart {
-		cost += time.Duration(float64(slowStartCost) * (1 - float64(age)/float64(slowStart)))
+	if age := now.Sub(c.AddedAt); age < slowStartTime {
+		cost += time.Duration(float64(slowStartCost) * (1 - float64(age)/float64(slowStartTime)))
 	}
 	return Score{Index: i, Predicted: wait, Cost: cost, LateShare: c.LateShare, Cached: cached}
 }
 
-// stall counts the prompt's computation against the answers that run beside it on a mixed engine.
-func stall(c *Candidate, uncached identifier.Tokens) time.Duration {
+// stallCost is the delay that prefill on a mixed engine causes to the answers that run beside it.
+func stallCost(c *Candidate, uncached identifier.Tokens) time.Duration {
 	if c.Slots <= 0 || c.PrefillPerSecond <= 0 {
 		return 0
 	}
@@ -205,13 +206,13 @@
 	return time.Duration(stallWeight * used * float64(uncached) / c.PrefillPerSecond * float64(time.Second))
 }
 
-// crowd grows with the square of the used share of the batch, because each answer slows the others.
-func crowd(c *Candidate) time.Duration {
+// batchCost grows with the square of the used share of the batch, because each answer slows down the others.
+func batchCost(c *Candidate) time.Duration {
 	if c.Slots <= 0 {
 		return 0
 	}
 	used := min(1, float64(c.Running)/float64(c.Slots))
-	return time.Duration(used * used * float64(crowding))
+	return time.Duration(used * used * float64(maximumBatchCost))
 }
 
 // slotWait predicts the wait for a batch slot.
@@ -223,8 +224,8 @@
 	return time.Duration(math.Min(60, 1+2*over) * float64(time.Second))
 }
 
-// mix spreads the bits of a hash (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits mixes the bits of a hash with the finalizer of SplitMix64.
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -12,15 +12,15 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// pieces is a cache that holds a fixed number of leading pieces.
-type pieces int
+// cachedParts is a cache that has a fixed number of leading parts of each prompt.
+type cachedParts int
 
-func (p pieces) Hit(list []uint64) int { return min(int(p), len(list)) }
+func (p cachedParts) Hit(list []uint64) int { return min(int(p), len(list)) }
 
 func engine(id string) router.Candidate {
 	return router.Candidate{
 		ID: identifier.TargetID(id), Hash: uint64(len(id))*0x9e3779b97f4a7c15 + uint64(id[len(id)-1]), Zone: "a", Usable: true,
-		PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, BatchLimit: 32, Cache: pieces(0),
+		PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, BatchLimit: 32, Cache: cachedParts(0),
 	}
 }
 
@@ -30,10 +30,10 @@
 		change func(good, other *router.Candidate, req *router.Request)
 	}{
 		"the shorter queue":            {func(_, o *router.Candidate, _ *router.Request) { o.FreeAt = now.Add(time.Second) }},
-		"the cached prompt":            {func(g, _ *router.Candidate, _ *router.Request) { g.Cache = pieces(2) }},
-		"the emptier batch":            {func(_, o *router.Candidate, _ *router.Request) { o.Running = 20 }},
+		"the cached prompt":            {func(g, _ *router.Candidate, _ *router.Request) { g.Cache = cachedParts(2) }},
+		"the less loaded batch":        {func(_, o *router.Candidate, _ *router.Request) { o.Running = 20 }},
 		"not the full batch":           {func(_, o *router.Candidate, _ *router.Request) { o.Running = 32 }},
-		"the own zone":                 {func(_, o *router.Candidate, _ *router.Request) { o.Zone = "b" }},
+		"the same zone":                {func(_, o *router.Candidate, _ *router.Request) { o.Zone = "b" }},
 		"not the new one":              {func(_, o *router.Candidate, _ *router.Request) { o.AddedAt = now }},
 		"not the one with late tokens": {func(_, o *router.Candidate, _ *router.Request) { o.LateShare = 0.2 }},
 		"not the unusable one":         {func(_, o *router.Candidate, _ *router.Request) { o.Usable = false }},
@@ -41,14 +41,14 @@
 		"not the excluded one": {func(_, _ *router.Candidate, r *router.Request) {
 			r.Excluded = func(id identifier.TargetID) bool { return id == "other" }
 		}},
-		"not the reserved one": {func(_, _ *router.Candidate, r *router.Request) {
+		"not the one that is not allowed": {func(_, _ *router.Candidate, r *router.Request) {
 			r.Allowed = func(id identifier.TargetID) bool { return id == "good" }
 		}},
-		"no cheap one for what must not be cut": {func(_, o *router.Candidate, r *router.Request) { o.Cheap, r.RefuseCheap = true, true }},
+		"no cheap target for a request that must not be interrupted": {func(_, o *router.Candidate, r *router.Request) { o.Cheap, r.RefuseCheap = true, true }},
 	} {
-		for draw := range uint64(20) {
+		for random := range uint64(20) {
 			candidates := []router.Candidate{engine("other"), engine("good")}
-			req := &router.Request{Zone: "a", PromptTokens: 4000, Parts: []uint64{draw, draw + 1}, Random: draw}
+			req := &router.Request{Zone: "a", PromptTokens: 4000, Parts: []uint64{random, random + 1}, Random: random}
 			tc.change(&candidates[1], &candidates[0], req)
 			choice, ok := router.Choose(now, req, candidates)
 			quicktest.Assert(t, ok, quicktest.IsTrue)
@@ -60,8 +60,8 @@
 func TestSamePrefixGoesToTheSameTargets(t *testing.T) {
 	candidates := fleet(12)
 	seen := map[int]int{}
-	for draw := range uint64(200) {
-		req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42}, Random: draw}
+	for random := range uint64(200) {
+		req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42}, Random: random}
 		choice, _ := router.Choose(time.Now(), req, candidates)
 		for _, s := range choice.Scores[:choice.Compared] {
 			seen[s.Index]++
@@ -74,7 +74,7 @@
 		}
 	}
 	quicktest.Check(t, always >= 2, quicktest.IsTrue, quicktest.Commentf("%v", seen))
-	quicktest.Check(t, len(seen) > 8, quicktest.IsTrue, quicktest.Commentf("the others are drawn at random: %v", seen))
+	quicktest.Check(t, len(seen) > 8, quicktest.IsTrue, quicktest.Commentf("the other candidates are not sampled at random: %v", seen))
 }
 
 func fleet(n int) []router.Candidate {
@@ -87,7 +87,7 @@
 	return candidates
 }
 
-func TestDecisionAllocatesNothing(t *testing.T) {
+func TestChooseAllocatesNothing(t *testing.T) {
 	candidates := fleet(720)
 	req := &router.Request{Zone: "zone-0", PromptTokens: 2000, Parts: []uint64{42, 43}}
 	now := time.Now()
