--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -13,8 +13,8 @@
 
 // Share sets Allowed of each demand to its weighted max-min share of the capacity.
 //
-// Demands are served in ascending order of wanted capacity per weight. Each gets what it wants, up to its weighted share
-// of the remaining capacity, so capacity that small demands leave unused goes to the larger ones.
+// Demands are served in ascending order of wanted capacity per weight. Each gets what it wants, up to its weighted
+// share of the remaining capacity, so capacity that small demands leave unused goes to the larger ones.
 func Share(capacity float64, demands []Demand) {
 	order := make([]int, len(demands))
 	weights := 0.0
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -10,8 +10,8 @@
 )
 
 // Where each engine runs either prefill or decode, prefill is most of the work: answers are short, and one engine
-// decodes many of them in a batch. PlanStages keeps a fixed share of the engines on decode, spread over the availability
-// zones, and changes as few engines as possible.
+// decodes many of them in a batch. PlanStages keeps a fixed share of the engines on decode, spread over the
+// availability zones, and changes as few engines as possible.
 
 // decodeShare is the share of all engines that decode.
 const decodeShare = 0.18
@@ -95,8 +95,8 @@
 	return StageChange{ID: e.ID, Stage: stage}
 }
 
-// pick returns the engine of a stage with the lowest rank. Cheap engines, which may be reclaimed, are the last to become
-// decode engines and the first to stop.
+// pick returns the engine of a stage with the lowest rank. Cheap engines, which may be reclaimed, are the last to
+// become decode engines and the first to stop.
 func pick(engines []StageEngine, stage registrar.Stage, rank func(StageEngine) int) *StageEngine {
 	var best *StageEngine
 	for i := range engines {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -196,8 +196,8 @@
 	return list
 }
 
-// RecordOrder records that a target was ordered to change its stage. It counts as changing until its entry shows the new
-// stage, but no longer than until the given time.
+// RecordOrder records that a target was ordered to change its stage. It counts as changing until its entry shows the
+// new stage, but no longer than until the given time.
 func (r *Registrar) RecordOrder(id identifier.TargetID, stage Stage, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -18,8 +18,8 @@
 	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Sequence: sequence, Leaving: leaving, Stage: registrar.PrefillStage}
 }
 
-// TestDelayedEntriesAreIgnored guards against entries that arrive late: they must not revive a target that is leaving or
-// was removed. A restarted target has a new start time and is accepted.
+// TestDelayedEntriesAreIgnored guards against entries that arrive late: they must not revive a target that is leaving
+// or was removed. A restarted target has a new start time and is accepted.
 func TestDelayedEntriesAreIgnored(t *testing.T) {
 	var r registrar.Registrar
 	quicktest.Assert(t, r.Put(target(5, false), now), quicktest.IsTrue)
--- a/internal/retrier/windowed_test.go
+++ b/internal/retrier/windowed_test.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/retrier"
 )
 
-// TestWindowed lets eight instances retry as often as allowed at a constant load, and checks that their retries together
-// stay within the budget in every window, and that the budget is used.
+// TestWindowed lets eight instances retry as often as allowed at a constant load, and checks that their retries
+// together stay within the budget in every window, and that the budget is used.
 func TestWindowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, ratio, slack = 8, 0.2, 56.0
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,15 +10,16 @@
 
 // Choose works in two steps.
 //
-// It first samples a few candidates: the owners of the prompt's first part by rendezvous hashing, so that all instances
-// send the same prefix to the same targets without coordination; random ones, so that instances that have the same stale
-// load report do not all choose the same target; and one random candidate of the request's availability zone.
+// It first samples a few candidates: the owners of the prompt's first part by rendezvous hashing, so that all
+// instances send the same prefix to the same targets without coordination; random ones, so that instances that have
+// the same stale load report do not all choose the same target; and one random candidate of the request's
+// availability zone.
 //
-// It then chooses the one with the lowest cost. The cost starts from the predicted time to first token: the queue of the
-// last report, the requests that this instance has sent since, the uncached prompt tokens divided by the target's prefill
-// rate, multiplied by the observed slowdown, the wait for a batch slot and the delay to another availability zone. The
-// effect on answers that run on the same target is added: the use of the batch, the share of late tokens and, on a mixed
-// engine, the prefill time. A new target has an extra cost that falls to zero during its slow start.
+// It then chooses the one with the lowest cost. The cost starts from the predicted time to first token: the queue of
+// the last report, the requests that this instance has sent since, the uncached prompt tokens divided by the target's
+// prefill rate, multiplied by the observed slowdown, the wait for a batch slot and the delay to another availability
+// zone. The effect on answers that run on the same target is added: the use of the batch, the share of late tokens
+// and, on a mixed engine, the prefill time. A new target has an extra cost that falls to zero during its slow start.
 
 const (
 	affinityCandidates = 2
@@ -145,10 +146,10 @@
 }
 
 // keepHighest inserts index i if its weight is among the highest in the count places from first on.
-func keepHighest(sampled *[maximumCandidates]int, weights *[maximumCandidates]uint64, first, count, i int, weight uint64) {
+func keepHighest(kept *[maximumCandidates]int, weights *[maximumCandidates]uint64, first, count, i int, weight uint64) {
 	for s := first; s < first+count; s++ {
-		if sampled[s] < 0 || weight > weights[s] {
-			sampled[s], i = i, sampled[s]
+		if kept[s] < 0 || weight > weights[s] {
+			kept[s], i = i, kept[s]
 			weights[s], weight = weight, weights[s]
 			if i < 0 {
 				return
