--- a/internal/tracker/doc.go
+++ b/internal/tracker/doc.go
@@ -1,2 +1,3 @@
-// Package tracker follows the targets: load reports, cache events, health and what this instance sent.
+// Package tracker keeps the state of each target from its load reports, cache events and failures and from the
+// requests that this instance sent to it, and assigns requests to targets.
 package tracker
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -8,9 +8,10 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-const transferTime = 20 * time.Millisecond
+// kvTransferTime is the assumed time to move a KV cache between engines.
+const kvTransferTime = 20 * time.Millisecond
 
-// Plan says where a chat completion runs: on one target, or computed on one and answered by another.
+// Plan assigns a chat completion to one target or, if Split, its prefill to one target and its decoding to another.
 type Plan struct {
 	Answer    Assignment
 	Prefill   Assignment
@@ -20,9 +21,9 @@
 	Cached    identifier.Tokens
 }
 
-// PlanCompletion picks the way with the lowest cost: a mixed engine, or a prefill engine and one that answers.
-// Where there is neither, a decode engine computes the prompt itself.
-func (t *Tracker) PlanCompletion(name string, req router.Request, note func(identifier.TargetID, router.Score)) (Plan, bool) {
+// PlanCompletion chooses the cheapest plan: a mixed engine alone, or a prefill engine together with a decode or
+// mixed engine that imports the KV cache. If neither is available, a decode engine also prefills the prompt.
+func (t *Tracker) PlanCompletion(name string, req router.Request, onScore func(identifier.TargetID, router.Score)) (Plan, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
@@ -31,41 +32,41 @@
 	}
 	now := time.Now()
 	t.refresh(g, now)
-	mixed, prefill, decode, imported := req, req, req, req
-	mixed.Role = recorder.Role_Mixed
-	prefill.Role = recorder.Role_Prefill
-	decode.Role, decode.Prefilled = recorder.Role_Decode, true
-	imported.Role, imported.Prefilled = recorder.Role_Mixed, true
-	onMixed, hasMixed := choose(now, g, &mixed, note)
-	onPrefill, hasPrefill := choose(now, g, &prefill, note)
-	onDecode, hasDecode := choose(now, g, &decode, note)
-	answer, onAnswer, hasAnswer := &decode, onDecode, hasDecode
-	if onImported, ok := choose(now, g, &imported, nil); ok && (!hasDecode || onImported.Cost < onDecode.Cost) {
-		answer, onAnswer, hasAnswer = &imported, onImported, true
+	mixedReq, prefillReq, decodeReq, importedReq := req, req, req, req
+	mixedReq.Role = recorder.Role_Mixed
+	prefillReq.Role = recorder.Role_Prefill
+	decodeReq.Role, decodeReq.Prefilled = recorder.Role_Decode, true
+	importedReq.Role, importedReq.Prefilled = recorder.Role_Mixed, true
+	mixedScore, hasMixed := choose(now, g, &mixedReq, onScore)
+	prefillScore, hasPrefill := choose(now, g, &prefillReq, onScore)
+	decodeScore, hasDecode := choose(now, g, &decodeReq, onScore)
+	answerReq, answerScore, hasAnswer := &decodeReq, decodeScore, hasDecode
+	if importedScore, ok := choose(now, g, &importedReq, nil); ok && (!hasDecode || importedScore.Cost < decodeScore.Cost) {
+		answerReq, answerScore, hasAnswer = &importedReq, importedScore, true
 	}
-	split := onPrefill.Cost + transferTime + onAnswer.Cost
+	splitCost := prefillScore.Cost + kvTransferTime + answerScore.Cost
 	switch {
-	case hasPrefill && hasAnswer && (!hasMixed || split < onMixed.Cost):
+	case hasPrefill && hasAnswer && (!hasMixed || splitCost < mixedScore.Cost):
 		return Plan{
-			Prefill: g.take(now, &prefill, onPrefill), Answer: g.take(now, answer, onAnswer),
-			Split: true, Predicted: onPrefill.Predicted + transferTime + onAnswer.Predicted, Late: onAnswer.LateShare, Cached: onPrefill.Cached,
+			Prefill: g.assign(now, &prefillReq, prefillScore), Answer: g.assign(now, answerReq, answerScore),
+			Split: true, Predicted: prefillScore.Predicted + kvTransferTime + answerScore.Predicted, Late: answerScore.LateShare, Cached: prefillScore.Cached,
 		}, true
 	case hasMixed:
-		return Plan{Answer: g.take(now, &mixed, onMixed), Predicted: onMixed.Predicted, Late: onMixed.LateShare, Cached: onMixed.Cached}, true
+		return Plan{Answer: g.assign(now, &mixedReq, mixedScore), Predicted: mixedScore.Predicted, Late: mixedScore.LateShare, Cached: mixedScore.Cached}, true
 	case hasDecode:
-		decode.Prefilled = false
-		onDecode, _ = choose(now, g, &decode, nil)
-		return Plan{Answer: g.take(now, &decode, onDecode), Predicted: onDecode.Predicted, Late: onDecode.LateShare, Cached: onDecode.Cached}, true
+		decodeReq.Prefilled = false
+		decodeScore, _ = choose(now, g, &decodeReq, nil)
+		return Plan{Answer: g.assign(now, &decodeReq, decodeScore), Predicted: decodeScore.Predicted, Late: decodeScore.LateShare, Cached: decodeScore.Cached}, true
 	}
 	return Plan{}, false
 }
 
-// Release takes back a plan that was not carried out.
+// Release undoes the accounting of a plan that was not executed.
 func (t *Tracker) Release(p Plan) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p.Answer.target.unsend(p.Answer.cost)
+	p.Answer.target.cancelSend(p.Answer.cost)
 	if p.Split {
-		p.Prefill.target.unsend(p.Prefill.cost)
+		p.Prefill.target.cancelSend(p.Prefill.cost)
 	}
 }
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -9,47 +9,51 @@
 )
 
 const (
-	failuresToEject  = 3
-	ejectionInitial  = time.Second
-	ejectionMaximum  = 30 * time.Second
-	maximumOwnEvents = 4096
-	maximumPieces    = 1 << 16
-	observedLeast    = 50 * time.Millisecond
-	stretchMaximum   = 5.0
-	stretchShare     = 0.1
-	lateMemory       = 100.0
-	lateFading       = 2 * time.Second
-	lateTolerated    = 0.01
-	batchInterval    = 500 * time.Millisecond
-	batchShrink      = 0.9
-	batchGrowth      = 0.004
-	batchLeast       = 0.25
+	failuresToEject         = 3
+	initialEjection         = time.Second
+	maximumEjection         = 30 * time.Second
+	maximumSendRecords      = 4096
+	maximumParts            = 1 << 16
+	minimumPredictedPrefill = 50 * time.Millisecond
+	maximumSlowdown         = 5.0
+	slowdownSmoothing       = 0.1
+	lateWindowTokens        = 100.0
+	lateDecayTime           = 2 * time.Second
+	toleratedLateFraction   = 0.01
+	batchAdjustInterval     = 500 * time.Millisecond
+	batchDecreaseFactor     = 0.9
+	batchIncreaseFraction   = 0.004
+	minimumBatchFraction    = 0.25
 )
 
-// target is what is known of one target. The predicted end of its prefill queue and its occupied
-// slots start from the last report and add what this instance sent after the instant of that report.
+// target holds the state of one target. The predicted end of its prefill queue and its active requests are
+// the figures of the last load report plus the requests that this instance sent after that report.
 type target struct {
-	spec      *recorder.Target
-	role      recorder.Role
-	since     time.Time
-	polling   bool
-	polls     int
-	nextEvent uint64
-	pieces    map[uint64]bool
+	spec *recorder.Target
+	role recorder.Role
+	// activeSince is the start of the slow start; zero means none.
+	activeSince time.Time
+	polling     bool
+	pollCount   int
+	nextEvent   uint64
+	parts       map[uint64]bool
 
-	reportedAt time.Time
-	reported   chatter.Load
-	sends      []send
-	starts     []time.Time
-	ends       []time.Time
-	freeAt     time.Time
-	inFlight   int64
-	stretch    float64
-	crowd      float64
-	late       float64
-	lateAt     time.Time
-	batch      float64
-	batchAt    time.Time
+	reportedAt    time.Time
+	reported      chatter.Load
+	sends         []send
+	starts        []time.Time
+	ends          []time.Time
+	prefillFreeAt time.Time
+	inFlight      int64
+	// slowdown is the moving average of measured over predicted prefill time; zero means no observation.
+	slowdown float64
+	// peerSendRatio is the load that all other entry instances are assumed to add, as a multiple of this one's.
+	peerSendRatio float64
+	lateFraction  float64
+	lateUpdatedAt time.Time
+	// batchLimit is the estimated number of answers at which tokens are still on time; zero means no observation.
+	batchLimit     float64
+	batchUpdatedAt time.Time
 
 	failures     int
 	ejections    int
@@ -61,143 +65,150 @@
 	cost time.Duration
 }
 
-// newTarget returns a target; one of the first inventory needs no slow start.
+// newTarget returns a target. Targets of the first inventory need no slow start.
 func newTarget(spec *recorder.Target, now time.Time, first bool) *target {
-	tg := &target{spec: spec, pieces: map[uint64]bool{}}
+	tg := &target{spec: spec, parts: map[uint64]bool{}}
 	if !first {
-		tg.since = now
+		tg.activeSince = now
 	}
 	return tg
 }
 
-// Hit returns how many leading pieces the target is thought to have cached.
-func (tg *target) Hit(pieces []uint64) int {
-	for i, p := range pieces {
-		if !tg.pieces[p] {
+// Hit returns the number of leading parts of a prompt that the target is believed to have cached.
+func (tg *target) Hit(parts []uint64) int {
+	for i, p := range parts {
+		if !tg.parts[p] {
 			return i
 		}
 	}
-	return len(pieces)
+	return len(parts)
 }
 
+// usable reports whether the target is neither ejected nor reported as leaving.
 func (tg *target) usable(now time.Time) bool {
 	return !now.Before(tg.ejectedUntil) && !tg.reported.Leaving
 }
 
-func (tg *target) busy() int64 {
+// activeRequests estimates the number of requests that run or wait on the target.
+func (tg *target) activeRequests() int64 {
 	if tg.reportedAt.IsZero() {
 		return tg.inFlight
 	}
-	since := float64(len(tg.starts)-len(tg.ends)) * (1 + tg.crowd)
-	return max(tg.inFlight, tg.reported.Running+tg.reported.Waiting+int64(since))
+	sinceReport := float64(len(tg.starts)-len(tg.ends)) * (1 + tg.peerSendRatio)
+	return max(tg.inFlight, tg.reported.Running+tg.reported.Waiting+int64(sinceReport))
 }
 
-func (tg *target) sent(now time.Time, cost time.Duration, pieces []uint64) {
+// recordSend counts a request sent to the target; cost is its predicted prefill time. Its prompt parts are assumed
+// to be cached from then on.
+func (tg *target) recordSend(now time.Time, cost time.Duration, parts []uint64) {
 	tg.inFlight++
 	if tg.spec.Kind == recorder.TargetKind_Service {
 		return
 	}
-	tg.sends = bounded(append(tg.sends, send{at: now, cost: cost}))
-	tg.starts = bounded(append(tg.starts, now))
-	tg.freeAt = later(tg.freeAt, now).Add(tg.crowded(cost))
-	if len(tg.pieces) > maximumPieces {
-		tg.pieces = map[uint64]bool{}
+	tg.sends = newest(append(tg.sends, send{at: now, cost: cost}))
+	tg.starts = newest(append(tg.starts, now))
+	tg.prefillFreeAt = later(tg.prefillFreeAt, now).Add(tg.withPeerSends(cost))
+	if len(tg.parts) > maximumParts {
+		tg.parts = map[uint64]bool{}
 	}
-	for _, p := range pieces {
-		tg.pieces[p] = true
+	for _, p := range parts {
+		tg.parts[p] = true
 	}
 }
 
-func (tg *target) finished(now time.Time) {
+// recordEnd counts the end of a request, whatever its result.
+func (tg *target) recordEnd(now time.Time) {
 	tg.inFlight--
 	if tg.spec.Kind == recorder.TargetKind_Service {
 		return
 	}
-	tg.ends = bounded(append(tg.ends, now))
+	tg.ends = newest(append(tg.ends, now))
 }
 
-// setRole forgets what was learned in another role.
+// setRole changes the role and discards what was observed in the previous one.
 func (tg *target) setRole(role recorder.Role) {
 	if tg.role == role {
 		return
 	}
 	tg.role = role
-	tg.stretch = 0
-	tg.batch = 0
-	tg.late = 0
+	tg.slowdown = 0
+	tg.batchLimit = 0
+	tg.lateFraction = 0
 }
 
-// observe learns how much longer prompts take here than the prefill rate says.
-func (tg *target) observe(took, queued time.Duration) {
-	if queued < observedLeast {
+// observeFirstToken updates the moving average of the ratio of measured to predicted prefill time. Short
+// predictions are ignored.
+func (tg *target) observeFirstToken(measured, predicted time.Duration) {
+	if predicted < minimumPredictedPrefill {
 		return
 	}
-	ratio := min(stretchMaximum, max(1, float64(took)/float64(queued)))
-	if tg.stretch == 0 {
-		tg.stretch = 1
+	ratio := min(maximumSlowdown, max(1, float64(measured)/float64(predicted)))
+	if tg.slowdown == 0 {
+		tg.slowdown = 1
 	}
-	tg.stretch += (ratio - tg.stretch) * stretchShare
+	tg.slowdown += (ratio - tg.slowdown) * slowdownSmoothing
 }
 
-// tokens follows the share of late tokens.
-func (tg *target) tokens(now time.Time, late, total int64) {
+// observeTokens updates the moving average of the fraction of late tokens.
+func (tg *target) observeTokens(now time.Time, late, total int64) {
 	if total == 0 {
 		return
 	}
-	share := tg.lateShare(now)
-	weight := 1 - math.Exp(-float64(total)/lateMemory)
-	tg.late = share + (float64(late)/float64(total)-share)*weight
-	tg.lateAt = now
-	tg.followBatch(now)
+	fraction := tg.decayedLateFraction(now)
+	weight := 1 - math.Exp(-float64(total)/lateWindowTokens)
+	tg.lateFraction = fraction + (float64(late)/float64(total)-fraction)*weight
+	tg.lateUpdatedAt = now
+	tg.adjustBatchLimit(now)
 }
 
-// followBatch learns the batch at which tokens still come in time: it shrinks below what is running
-// while many come late, and grows slowly otherwise.
-func (tg *target) followBatch(now time.Time) {
-	if now.Sub(tg.batchAt) < batchInterval {
+// adjustBatchLimit searches for the largest batch at which tokens are still on time, by additive increase and
+// multiplicative decrease: while too many tokens are late, the limit drops below the number of active requests.
+func (tg *target) adjustBatchLimit(now time.Time) {
+	if now.Sub(tg.batchUpdatedAt) < batchAdjustInterval {
 		return
 	}
-	tg.batchAt = now
-	limit := float64(tg.spec.Slots)
-	if tg.batch == 0 {
-		tg.batch = limit
+	tg.batchUpdatedAt = now
+	slots := float64(tg.spec.Slots)
+	if tg.batchLimit == 0 {
+		tg.batchLimit = slots
 	}
-	if tg.late > lateTolerated {
-		tg.batch = max(limit*batchLeast, min(tg.batch, float64(tg.busy()))*batchShrink)
+	if tg.lateFraction > toleratedLateFraction {
+		tg.batchLimit = max(slots*minimumBatchFraction, min(tg.batchLimit, float64(tg.activeRequests()))*batchDecreaseFactor)
 		return
 	}
-	tg.batch = min(limit, tg.batch+limit*batchGrowth)
+	tg.batchLimit = min(slots, tg.batchLimit+slots*batchIncreaseFraction)
 }
 
-// slots is the number of answers that the target should run at once.
-func (tg *target) slots() int64 {
-	if tg.batch == 0 {
+// concurrencyLimit returns the number of answers that the target should generate at once.
+func (tg *target) concurrencyLimit() int64 {
+	if tg.batchLimit == 0 {
 		return tg.spec.Slots
 	}
-	return max(1, int64(tg.batch))
+	return max(1, int64(tg.batchLimit))
 }
 
-// lateShare is the share of late tokens, which fades while nothing is observed.
-func (tg *target) lateShare(now time.Time) float64 {
-	if tg.lateAt.IsZero() {
+// decayedLateFraction returns the fraction of late tokens, which decays while no tokens are observed.
+func (tg *target) decayedLateFraction(now time.Time) float64 {
+	if tg.lateUpdatedAt.IsZero() {
 		return 0
 	}
-	return tg.late * math.Exp(-now.Sub(tg.lateAt).Seconds()/lateFading.Seconds())
+	return tg.lateFraction * math.Exp(-now.Sub(tg.lateUpdatedAt).Seconds()/lateDecayTime.Seconds())
 }
 
-func (tg *target) report(received time.Time, load chatter.Load) {
+// applyReport replaces the reported load and drops the records of sends and ends that the report already covers.
+func (tg *target) applyReport(received time.Time, load chatter.Load) {
 	tg.reported = load
 	tg.reportedAt = received.Add(-time.Duration(load.AgeMilliseconds) * time.Millisecond)
-	tg.starts = after(tg.starts, tg.reportedAt)
-	tg.ends = after(tg.ends, tg.reportedAt)
-	tg.freeAt = tg.reportedAt.Add(time.Duration(load.QueuedPrefillMilliseconds) * time.Millisecond)
+	tg.starts = timesAfter(tg.starts, tg.reportedAt)
+	tg.ends = timesAfter(tg.ends, tg.reportedAt)
+	tg.prefillFreeAt = tg.reportedAt.Add(time.Duration(load.QueuedPrefillMilliseconds) * time.Millisecond)
 	kept := tg.sends[:0]
 	for _, s := range tg.sends {
 		if !s.at.After(tg.reportedAt) {
 			continue
 		}
 		kept = append(kept, s)
-		tg.freeAt = later(tg.freeAt, s.at).Add(tg.crowded(s.cost))
+		tg.prefillFreeAt = later(tg.prefillFreeAt, s.at).Add(tg.withPeerSends(s.cost))
 	}
 	tg.sends = kept
 	if !received.Before(tg.ejectedUntil) && tg.ejections > 0 && tg.failures == 0 {
@@ -206,39 +217,40 @@
 	tg.failures = 0
 }
 
-// events corrects the cache; after a gap it starts over.
-func (tg *target) events(page chatter.CacheEvents) {
+// applyEvents updates the set of cached parts. It discards the set if events are missing or the sequence numbers
+// went back.
+func (tg *target) applyEvents(page chatter.CacheEvents) {
 	if page.Next < tg.nextEvent || len(page.Events) > 0 && page.Events[0].Sequence > tg.nextEvent {
-		tg.pieces = map[uint64]bool{}
+		tg.parts = map[uint64]bool{}
 	}
 	tg.nextEvent = page.Next
 	for _, e := range page.Events {
 		if e.Stored {
-			tg.pieces[e.Piece] = true
+			tg.parts[e.Piece] = true
 		} else {
-			delete(tg.pieces, e.Piece)
+			delete(tg.parts, e.Piece)
 		}
 	}
 }
 
-// fail ejects the target after several failures in a row, for longer each time.
-func (tg *target) fail(now time.Time) {
+// recordFailure ejects the target after several consecutive failures, with exponentially growing duration.
+func (tg *target) recordFailure(now time.Time) {
 	tg.failures++
 	if tg.failures < failuresToEject || now.Before(tg.ejectedUntil) {
 		return
 	}
-	d := min(ejectionMaximum, ejectionInitial<<min(tg.ejections, 10))
+	ejection := min(maximumEjection, initialEjection<<min(tg.ejections, 10))
 	tg.ejections++
-	tg.ejectedUntil = now.Add(d)
-	tg.since = tg.ejectedUntil
-	tg.pieces = map[uint64]bool{}
+	tg.ejectedUntil = now.Add(ejection)
+	tg.activeSince = tg.ejectedUntil
+	tg.parts = map[uint64]bool{}
 }
 
-func (tg *target) succeed() { tg.failures = 0 }
+func (tg *target) recordSuccess() { tg.failures = 0 }
 
-// crowded adds what other entries have probably sent in the same time.
-func (tg *target) crowded(cost time.Duration) time.Duration {
-	return time.Duration(float64(cost) * (1 + tg.crowd))
+// withPeerSends adds the load that other entry instances are assumed to have sent in the same time.
+func (tg *target) withPeerSends(cost time.Duration) time.Duration {
+	return time.Duration(float64(cost) * (1 + tg.peerSendRatio))
 }
 
 func later(a, b time.Time) time.Time {
@@ -248,7 +260,7 @@
 	return b
 }
 
-func after(times []time.Time, t time.Time) []time.Time {
+func timesAfter(times []time.Time, t time.Time) []time.Time {
 	kept := times[:0]
 	for _, at := range times {
 		if at.After(t) {
@@ -258,17 +270,18 @@
 	return kept
 }
 
-func bounded[T any](list []T) []T {
-	if len(list) > maximumOwnEvents {
-		return list[len(list)-maximumOwnEvents:]
+// newest limits a list to its most recent maximumSendRecords elements.
+func newest[T any](list []T) []T {
+	if len(list) > maximumSendRecords {
+		return list[len(list)-maximumSendRecords:]
 	}
 	return list
 }
 
-// unsend takes back the newest send, which did not leave this instance.
-func (tg *target) unsend(cost time.Duration) {
+// cancelSend undoes the recordSend of a request that was not executed. It drops the most recent records.
+func (tg *target) cancelSend(cost time.Duration) {
 	tg.inFlight--
-	tg.freeAt = tg.freeAt.Add(-tg.crowded(cost))
+	tg.prefillFreeAt = tg.prefillFreeAt.Add(-tg.withPeerSends(cost))
 	if n := len(tg.starts); n > 0 {
 		tg.starts = tg.starts[:n-1]
 	}
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -24,41 +24,42 @@
 	loadsPerEvents   = 4
 	pollTimeout      = time.Second
 	maximumPollBytes = 1 << 20
-	likeness         = 0.5
+	// peerSendFraction is the load that each other entry instance is assumed to add, as a fraction of this one's.
+	peerSendFraction = 0.5
 )
 
-// Tracker keeps what is known of the targets in force; HTTP must be set.
+// Tracker holds the state of the current targets. HTTP must be set.
 type Tracker struct {
 	HTTP   *http.Client
 	Logger *zap.Logger
 
-	mu       sync.Mutex
-	targets  map[identifier.TargetID]*target
-	groups   map[string]*group
-	crowd    float64
-	leaving  map[identifier.TargetID]bool
-	draining map[identifier.TargetID]bool
+	mu            sync.Mutex
+	targets       map[identifier.TargetID]*target
+	groups        map[string]*group
+	peerSendRatio float64
+	leaving       map[identifier.TargetID]bool
+	draining      map[identifier.TargetID]bool
 }
 
-// group is the candidates for one model or service, kept in place so that a decision allocates nothing.
+// group holds the candidates for one model or service. They are updated in place so that a choice allocates nothing.
 type group struct {
 	candidates []router.Candidate
 	targets    []*target
 }
 
-// Assignment names a chosen target for the duration of one request.
+// Assignment is a request counted as sent to a target. It must be passed to Finish, or to Release in a Plan.
 type Assignment struct {
-	ID      identifier.TargetID
-	Address string
-	Zone    identifier.ZoneID
-	Role    recorder.Role
-	target  *target
-	cost    time.Duration
-	sentAt  time.Time
-	queued  time.Duration
+	ID        identifier.TargetID
+	Address   string
+	Zone      identifier.ZoneID
+	Role      recorder.Role
+	target    *target
+	cost      time.Duration
+	sentAt    time.Time
+	predicted time.Duration
 }
 
-// GroupOf returns the group name under which a target of the inventory is a candidate.
+// GroupOf returns the name of the group in which a target of the inventory is a candidate.
 func GroupOf(t *recorder.Target) string {
 	if t.Kind == recorder.TargetKind_Service {
 		return ServiceGroup(t.Service)
@@ -72,7 +73,7 @@
 // ServiceGroup returns the group name of a service's targets.
 func ServiceGroup(service string) string { return "Service/" + service }
 
-// SetTargets replaces the targets by those of an inventory and keeps what is known of those that stay.
+// SetTargets replaces the targets with those of an inventory. Targets whose address is unchanged keep their state.
 func (t *Tracker) SetTargets(list []*recorder.Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,16 +86,17 @@
 		tg := old[id]
 		if tg == nil || tg.spec.Address != spec.Address {
 			tg = newTarget(spec, now, len(old) == 0)
-			tg.crowd = t.crowd
+			tg.peerSendRatio = t.peerSendRatio
 		}
 		tg.spec = spec
 		tg.role = spec.Role
 		t.targets[id] = tg
-		t.join(tg, spec, id)
+		t.addToGroup(tg, spec, id)
 	}
 }
 
-func (t *Tracker) join(tg *target, spec *recorder.Target, id identifier.TargetID) {
+// addToGroup makes a target a candidate of its model or service.
+func (t *Tracker) addToGroup(tg *target, spec *recorder.Target, id identifier.TargetID) {
 	name := GroupOf(spec)
 	g := t.groups[name]
 	if g == nil {
@@ -114,18 +116,18 @@
 	})
 }
 
-// SetEntryCount tells how many entry instances send to the same targets. What this one sent since a
-// report then stands for what the others sent, in part, because they do not all choose alike.
-func (t *Tracker) SetEntryCount(n int) {
+// SetEntryCount sets the number of entry instances that send to the same targets. The load that the others added
+// since a report is assumed to be a fraction of this one's load, because not all instances choose the same targets.
+func (t *Tracker) SetEntryCount(count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crowd = float64(max(0, n-1)) * likeness
+	t.peerSendRatio = float64(max(0, count-1)) * peerSendFraction
 	for _, tg := range t.targets {
-		tg.crowd = t.crowd
+		tg.peerSendRatio = t.peerSendRatio
 	}
 }
 
-// SetRoles overrides the inventory's roles by those that orders have brought about.
+// SetRoles overrides the roles of the inventory with the ones that orders have set.
 func (t *Tracker) SetRoles(roles map[identifier.TargetID]recorder.Role) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,22 +138,23 @@
 	}
 }
 
-// SetDraining replaces the set of targets that an order under way wants to be free of work.
+// SetDraining replaces the set of targets that are draining for an order in progress; they get no new requests.
 func (t *Tracker) SetDraining(draining map[identifier.TargetID]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.draining = draining
 }
 
-// SetLeaving replaces the set of targets that the platform lists as leaving.
+// SetLeaving replaces the set of targets that the platform lists as leaving; they get no new requests.
 func (t *Tracker) SetLeaving(leaving map[identifier.TargetID]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = leaving
 }
 
-// Choose picks a target and counts the request as sent to it; the names call back for each candidate compared.
-func (t *Tracker) Choose(name string, req *router.Request, note func(identifier.TargetID, router.Score)) (Assignment, router.Score, bool) {
+// Choose chooses a target of the named group and counts the request as sent to it. onScore, unless nil, is called
+// for each candidate that was compared.
+func (t *Tracker) Choose(name string, req *router.Request, onScore func(identifier.TargetID, router.Score)) (Assignment, router.Score, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
@@ -160,83 +163,84 @@
 	}
 	now := time.Now()
 	t.refresh(g, now)
-	best, ok := choose(now, g, req, note)
+	best, ok := choose(now, g, req, onScore)
 	if !ok {
 		return Assignment{}, router.Score{}, false
 	}
-	return g.take(now, req, best), best, true
+	return g.assign(now, req, best), best, true
 }
 
-// choose compares the candidates of a group and reports each comparison to note.
-func choose(now time.Time, g *group, req *router.Request, note func(identifier.TargetID, router.Score)) (router.Score, bool) {
+// choose returns the best candidate of a group and passes each score to onScore.
+func choose(now time.Time, g *group, req *router.Request, onScore func(identifier.TargetID, router.Score)) (router.Score, bool) {
 	choice, ok := router.Choose(now, req, g.candidates)
-	if note != nil {
+	if onScore != nil {
 		for _, s := range choice.Scores[:choice.Compared] {
-			note(g.candidates[s.Index].ID, s)
+			onScore(g.candidates[s.Index].ID, s)
 		}
 	}
 	return choice.Best, ok
 }
 
-// take counts a request as sent to the chosen candidate.
-func (g *group) take(now time.Time, req *router.Request, best router.Score) Assignment {
+// assign counts a request as sent to the candidate with the best score.
+func (g *group) assign(now time.Time, req *router.Request, best router.Score) Assignment {
 	tg := g.targets[best.Index]
 	c := &g.candidates[best.Index]
 	asserter.That(c.Usable && !tg.reported.Leaving, asserter.UsableTargetChosen, "target %s", c.ID)
-	h := Assignment{ID: c.ID, Address: tg.spec.Address, Zone: c.Zone, Role: c.Role, target: tg}
+	a := Assignment{ID: c.ID, Address: tg.spec.Address, Zone: c.Zone, Role: c.Role, target: tg}
 	if !req.Prefilled {
-		h.cost = time.Duration(float64(req.PromptTokens-best.Cached) / max(1, c.PrefillPerSecond) * float64(time.Second))
+		a.cost = time.Duration(float64(req.PromptTokens-best.Cached) / max(1, c.PrefillPerSecond) * float64(time.Second))
 	}
-	h.sentAt = now
-	h.queued = max(0, tg.freeAt.Sub(now)) + h.cost
-	tg.sent(now, h.cost, req.Parts)
-	return h
+	a.sentAt = now
+	a.predicted = max(0, tg.prefillFreeAt.Sub(now)) + a.cost
+	tg.recordSend(now, a.cost, req.Parts)
+	return a
 }
 
-// refresh copies what changes with time into the candidates.
+// refresh updates the candidates of a group from the state of their targets.
 func (t *Tracker) refresh(g *group, now time.Time) {
 	for i, tg := range g.targets {
 		c := &g.candidates[i]
 		c.Role = tg.role
 		c.Usable = tg.usable(now) && !t.leaving[c.ID] && !t.draining[c.ID]
-		c.AddedAt = tg.since
-		c.Running = tg.busy()
-		c.FreeAt = tg.freeAt
-		c.PrefillSlowdown = tg.stretch
-		c.LateShare = tg.lateShare(now)
-		c.BatchLimit = tg.slots()
+		c.AddedAt = tg.activeSince
+		c.Running = tg.activeRequests()
+		c.FreeAt = tg.prefillFreeAt
+		c.PrefillSlowdown = tg.slowdown
+		c.LateShare = tg.decayedLateFraction(now)
+		c.BatchLimit = tg.concurrencyLimit()
 	}
 }
 
-// ObserveFirstToken compares the time to an answer's first token, or to the end of a prompt that is computed
-// alone, with what the prefill rate would give.
-func (t *Tracker) ObserveFirstToken(h Assignment) {
+// ObserveFirstToken records that the first token of an answer, or the end of a separate prefill, has just been
+// observed. It compares the time since the request was sent with the time predicted from the prefill rate.
+func (t *Tracker) ObserveFirstToken(a Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h.target.observe(time.Since(h.sentAt), h.queued)
+	a.target.observeFirstToken(time.Since(a.sentAt), a.predicted)
 }
 
-// ObserveTokens counts tokens of an answer, and how many of them came later after the one before than promised.
-func (t *Tracker) ObserveTokens(h Assignment, late, total int64) {
+// ObserveTokens records tokens of an answer and how many of them were late: their gap to the previous token exceeded
+// the promised time between tokens.
+func (t *Tracker) ObserveTokens(a Assignment, late, total int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h.target.tokens(time.Now(), late, total)
+	a.target.observeTokens(time.Now(), late, total)
 }
 
-// Finish ends a request that Choose counted; failed tells that the target did not serve it.
-func (t *Tracker) Finish(h Assignment, failed bool) {
+// Finish ends a request that Choose or PlanCompletion counted; failed means that the target did not serve it.
+func (t *Tracker) Finish(a Assignment, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	h.target.finished(now)
+	a.target.recordEnd(now)
 	if failed {
-		h.target.fail(now)
+		a.target.recordFailure(now)
 		return
 	}
-	h.target.succeed()
+	a.target.recordSuccess()
 }
 
-// Capacity returns the prompt and output tokens per second that a group's usable targets can compute.
+// Capacity returns the rates, in tokens per second, at which the usable targets of a group can prefill and decode.
 func (t *Tracker) Capacity(name string) (prefillPerSecond, decodePerSecond float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -255,12 +259,12 @@
 	return prefillPerSecond, decodePerSecond
 }
 
-// Run polls every engine until ctx ends.
+// Run polls all engines until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		for _, tg := range t.due() {
+		for _, tg := range t.enginesToPoll() {
 			go t.poll(ctx, tg)
 		}
 		select {
@@ -271,7 +275,8 @@
 	}
 }
 
-func (t *Tracker) due() []*target {
+// enginesToPoll returns the engines with no poll in progress and marks them as being polled.
+func (t *Tracker) enginesToPoll() []*target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []*target
@@ -284,35 +289,36 @@
 	return list
 }
 
+// poll fetches the load report of an engine, and its cache events with every loadsPerEvents-th report.
 func (t *Tracker) poll(ctx context.Context, tg *target) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	t.mu.Lock()
 	address, next := tg.spec.Address, tg.nextEvent
-	wantsEvents := tg.polls%loadsPerEvents == 0
-	tg.polls++
+	wantsEvents := tg.pollCount%loadsPerEvents == 0
+	tg.pollCount++
 	t.mu.Unlock()
 	var load chatter.Load
-	err := t.get(ctx, address, "/control/load", &load)
+	err := t.getJSON(ctx, address, "/control/load", &load)
 	received := time.Now()
 	var events chatter.CacheEvents
 	if err == nil && wantsEvents {
-		err = t.get(ctx, address, fmt.Sprintf("/control/cache-events?From=%d", next), &events)
+		err = t.getJSON(ctx, address, fmt.Sprintf("/control/cache-events?From=%d", next), &events)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	tg.polling = false
 	if err != nil {
-		tg.fail(received)
+		tg.recordFailure(received)
 		return
 	}
-	tg.report(received, load)
+	tg.applyReport(received, load)
 	if wantsEvents {
-		tg.events(events)
+		tg.applyEvents(events)
 	}
 }
 
-func (t *Tracker) get(ctx context.Context, address, path string, out any) error {
+func (t *Tracker) getJSON(ctx context.Context, address, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
@@ -328,7 +334,7 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, maximumPollBytes)).Decode(out)
 }
 
-// Leaving reports whether a target is listed as leaving or says so itself.
+// Leaving reports whether the platform lists a target as leaving or the target's last load report says so.
 func (t *Tracker) Leaving(id identifier.TargetID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
