--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -15,15 +15,16 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 )
 
-// ErrInvalidAnswer is returned when a target's answer belongs to another request or lacks tokens.
-var ErrInvalidAnswer = errors.New("answer does not fit the request")
+// ErrInvalidAnswer is returned when a target's answer is malformed, incomplete or for another request.
+var ErrInvalidAnswer = errors.New("invalid answer from target")
 
-// ErrTargetStatus is returned when a target answered with an error status.
-var ErrTargetStatus = errors.New("target refused the request")
+// ErrTargetStatus is returned when a target responds with an error status.
+var ErrTargetStatus = errors.New("target returned an error")
 
-// attempt sends the request to one target and relays its answer from the token offset reached so far.
+// attempt sends the request as planned and relays the answer, starting after the tokens already delivered. If the
+// separate prefill fails, the request goes to the answering target without a KV cache.
 func (s *Relayer) attempt(h *chat, plan tracker.Plan) error {
-	ctx, alive, stop := withStall(h.ctx, firstTokenStall)
+	ctx, resetStall, stop := withStallTimeout(h.ctx, firstTokenTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+plan.Answer.Address+"/v1/chat/completions", bytes.NewReader(h.body))
 	if err != nil {
@@ -42,7 +43,7 @@
 			req.Header.Set(chatter.HandleHeader, transfer.Handle)
 		}
 	}
-	assertNoKey(req)
+	assertNoCallerKey(req)
 	h.sent.Store(true)
 	resp, err := s.HTTP.Do(req)
 	if err != nil {
@@ -53,15 +54,15 @@
 		return fmt.Errorf("%w: status %d", ErrTargetStatus, resp.StatusCode)
 	}
 	if id := resp.Header.Get(chatter.RequestIDHeader); id != string(h.id) {
-		return fmt.Errorf("%w: it is for request %q", ErrInvalidAnswer, id)
+		return fmt.Errorf("%w: response is for request %q", ErrInvalidAnswer, id)
 	}
-	h.attempted = attempted{plan: plan}
-	return s.relay(h, chatter.NewEventReader(resp.Body), alive)
+	h.observation = observation{plan: plan}
+	return s.relay(h, chatter.NewEventReader(resp.Body), resetStall)
 }
 
-// relay forwards events in token order: doubled ones are dropped, and a gap ends the attempt.
-func (s *Relayer) relay(h *chat, events *chatter.EventReader, alive func(time.Duration)) error {
-	own := []byte(`"id":"` + string(h.id) + `"`)
+// relay forwards events in token order. It drops duplicates and ends the attempt at a gap.
+func (s *Relayer) relay(h *chat, events *chatter.EventReader, resetStall func(time.Duration)) error {
+	idField := []byte(`"id":"` + string(h.id) + `"`)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -70,15 +71,15 @@
 		if err != nil {
 			return err
 		}
-		alive(betweenTokensStall)
+		resetStall(betweenTokensTimeout)
 		if event.Done() {
 			if h.usage == nil {
-				return fmt.Errorf("%w: it ends without its last chunk", ErrInvalidAnswer)
+				return fmt.Errorf("%w: stream ends without a final chunk", ErrInvalidAnswer)
 			}
 			return nil
 		}
-		if !bytes.Contains(event.Data, own) {
-			return fmt.Errorf("%w: a chunk names another request", ErrInvalidAnswer)
+		if !bytes.Contains(event.Data, idField) {
+			return fmt.Errorf("%w: chunk is for another request", ErrInvalidAnswer)
 		}
 		if err := s.relayEvent(h, event); err != nil {
 			return err
@@ -86,45 +87,47 @@
 	}
 }
 
+// relayEvent forwards an event that carries the next token and records its usage.
 func (s *Relayer) relayEvent(h *chat, event chatter.Event) error {
 	if event.Number > h.delivered+1 {
 		return fmt.Errorf("%w: token %d follows token %d", ErrInvalidAnswer, event.Number, h.delivered)
 	}
 	if event.Number <= h.delivered {
-		return s.relayLast(h, event)
+		return s.relayFinal(h, event)
 	}
 	asserter.That(event.Number == h.delivered+1, asserter.TokensInOrder, "token %d after %d", event.Number, h.delivered)
 	h.delivered = event.Number
-	s.countToken(h, time.Now())
+	s.observeToken(h, time.Now())
 	if !h.request.Stream {
 		var chunk chatter.Completion
 		if err := json.Unmarshal(event.Data, &chunk); err != nil || len(chunk.Choices) == 0 || chunk.Choices[0].Delta == nil {
-			return fmt.Errorf("%w: chunk %d cannot be read", ErrInvalidAnswer, event.Number)
+			return fmt.Errorf("%w: malformed chunk %d", ErrInvalidAnswer, event.Number)
 		}
 		h.text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	if time.Since(h.countedAt) >= usageInterval {
+	if time.Since(h.accountedAt) >= usageInterval {
 		s.account(h, 0)
 	}
-	return forward(h, event)
+	return forwardEvent(h, event)
 }
 
-// countToken observes the attempt's first token, and whether a later one came later than promised.
-func (s *Relayer) countToken(h *chat, now time.Time) {
-	if h.lastToken.IsZero() {
+// observeToken reports the first token of the attempt to the tracker, and counts later tokens and the late ones
+// among them.
+func (s *Relayer) observeToken(h *chat, now time.Time) {
+	if h.lastTokenAt.IsZero() {
 		s.Tracker.ObserveFirstToken(h.plan.Answer)
 	} else {
 		h.tokens++
 		promised := time.Duration(h.view.Promise().GetBetweenTokensMilliseconds()) * time.Millisecond
-		if promised > 0 && now.Sub(h.lastToken) > promised {
-			h.late++
+		if promised > 0 && now.Sub(h.lastTokenAt) > promised {
+			h.lateTokens++
 		}
 	}
-	h.lastToken = now
+	h.lastTokenAt = now
 }
 
-// relayLast handles an event that carries no new token: the last chunk, or a doubled one.
-func (s *Relayer) relayLast(h *chat, event chatter.Event) error {
+// relayFinal forwards the final chunk and drops any other event that carries no new token.
+func (s *Relayer) relayFinal(h *chat, event chatter.Event) error {
 	var chunk chatter.Completion
 	if err := json.Unmarshal(event.Data, &chunk); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidAnswer, err)
@@ -136,18 +139,19 @@
 	if h.usage == nil {
 		h.usage = &chatter.Usage{}
 	}
-	return forward(h, event)
+	return forwardEvent(h, event)
 }
 
-func forward(h *chat, event chatter.Event) error {
+// forwardEvent writes an event to the caller if the caller asked for a stream, after the response header if needed.
+func forwardEvent(h *chat, event chatter.Event) error {
 	if !h.request.Stream {
 		return nil
 	}
-	if !h.started {
+	if !h.headerWritten {
 		h.w.Header().Set("Content-Type", "text/event-stream")
 		h.w.Header().Set("Cache-Control", "no-store")
 		h.w.WriteHeader(http.StatusOK)
-		h.started = true
+		h.headerWritten = true
 	}
 	if _, err := h.w.Write(event.Raw); err != nil {
 		return err
@@ -156,10 +160,10 @@
 	return nil
 }
 
-// prefill computes the prompt on a prefill engine and returns the handle of its KV cache.
-func (s *Relayer) prefill(h *chat, handle tracker.Assignment) (chatter.Transfer, error) {
+// prefill runs the prompt on a prefill engine and returns the handle of its KV cache.
+func (s *Relayer) prefill(h *chat, assignment tracker.Assignment) (chatter.Transfer, error) {
 	var transfer chatter.Transfer
-	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, "http://"+handle.Address+"/kv/prefill", bytes.NewReader(h.body))
+	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, "http://"+assignment.Address+"/kv/prefill", bytes.NewReader(h.body))
 	if err != nil {
 		return transfer, err
 	}
@@ -172,11 +176,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return transfer, fmt.Errorf("%w: status %d", ErrTargetStatus, resp.StatusCode)
 	}
-	return transfer, json.NewDecoder(io.LimitReader(resp.Body, replayBytes)).Decode(&transfer)
+	return transfer, json.NewDecoder(io.LimitReader(resp.Body, maximumReplayBytes)).Decode(&transfer)
 }
 
-// assertNoKey checks that the caller's key does not go to a target.
-func assertNoKey(req *http.Request) {
+// assertNoCallerKey asserts that the caller's key is not sent to a target.
+func assertNoCallerKey(req *http.Request) {
 	asserter.That(req.Header.Get("Authorization") == "", asserter.KeyStaysHere, "request to %s", req.URL.Host)
 }
 
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -10,22 +10,22 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 )
 
-// readBody reads a request's body within the limits on size and time.
+// readBody reads the request body within the size and time limits.
 func (s *Relayer) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *answerer.Refusal) {
 	if r.ContentLength > s.Limits.BodyBytes {
 		return nil, tooLarge()
 	}
-	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
+	controller := http.NewResponseController(w)
+	controller.SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.Limits.BodyBytes))
 	if err == nil {
-		control.SetReadDeadline(time.Time{})
+		controller.SetReadDeadline(time.Time{})
 		return body, nil
 	}
 	refusal := &answerer.Refusal{Status: http.StatusBadRequest, Code: answerer.CodeMalformed, Run: answerer.NotRun, Message: "the body was cut short"}
-	var exceeded *http.MaxBytesError
+	var sizeErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &exceeded):
+	case errors.As(err, &sizeErr):
 		return nil, tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		refusal.Status, refusal.Code = http.StatusRequestTimeout, answerer.CodeTooSlow
@@ -34,6 +34,7 @@
 	return nil, refusal
 }
 
+// tooLarge returns the refusal of a body over the size limit.
 func tooLarge() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusRequestEntityTooLarge, Code: answerer.CodeTooLarge, Run: answerer.NotRun,
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -19,35 +19,35 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// chat is a chat completion under way. Engines are always asked for a stream, so that an answer
-// can be resumed at its token offset whether or not the caller asked for one.
+// chat is a chat completion in progress. Engines are always asked for a stream, so that any answer can be resumed
+// at its token offset, even if the caller did not ask for a stream.
 type chat struct {
 	*call
-	request   chatter.Request
-	body      []byte
-	pieces    []uint64
-	prompt    identifier.Tokens
-	uncached  identifier.Tokens
-	delivered int64
-	text      strings.Builder
-	usage     *chatter.Usage
-	started   bool
-	accounted int64
-	countedAt time.Time
-	tried     map[identifier.TargetID]bool
-	began     time.Time
-	attempted
+	request         chatter.Request
+	body            []byte
+	parts           []uint64
+	promptTokens    identifier.Tokens
+	uncachedTokens  identifier.Tokens
+	delivered       int64
+	text            strings.Builder
+	usage           *chatter.Usage
+	headerWritten   bool
+	accountedTokens int64
+	accountedAt     time.Time
+	tried           map[identifier.TargetID]bool
+	startedAt       time.Time
+	observation
 }
 
-// attempted is what is observed of the attempt under way.
-type attempted struct {
-	plan      tracker.Plan
-	lastToken time.Time
-	tokens    int64
-	late      int64
+// observation holds the plan of the current attempt and its token timing that is not yet passed to the tracker.
+type observation struct {
+	plan        tracker.Plan
+	lastTokenAt time.Time
+	tokens      int64
+	lateTokens  int64
 }
 
-// Chat serves a chat-completions request.
+// Chat serves a chat completions request.
 func (s *Relayer) Chat(w http.ResponseWriter, r *http.Request) {
 	c := s.newCall(w, r)
 	body, refusal := s.receive(c, false, func(*call) *answerer.Refusal { return nil })
@@ -55,7 +55,7 @@
 		s.refuse(c, refusal)
 		return
 	}
-	ctx, cancel := s.deadline(r)
+	ctx, cancel := s.requestContext(r)
 	defer cancel()
 	c.ctx = ctx
 	h, refusal := s.newChat(c, body)
@@ -75,43 +75,44 @@
 		return nil, &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownModel, Run: answerer.NotRun, Message: "no engine serves model " + request.Model}
 	}
 	return &chat{
-		call:    c,
-		request: request,
-		body:    rewrite(body, c.view.Priority(c.team)),
-		pieces:  request.Pieces(),
-		prompt:  identifier.Tokens(request.PromptTokens()),
-		tried:   map[identifier.TargetID]bool{},
-		began:   time.Now(),
+		call:         c,
+		request:      request,
+		body:         rewriteBody(body, c.view.Priority(c.team)),
+		parts:        request.Pieces(),
+		promptTokens: identifier.Tokens(request.PromptTokens()),
+		tried:        map[identifier.TargetID]bool{},
+		startedAt:    time.Now(),
 	}, nil
 }
 
-// rewrite keeps the caller's fields and sets those that the system decides.
-func rewrite(body []byte, priority int64) []byte {
+// rewriteBody sets stream and priority in the request body and keeps all other fields of the caller.
+func rewriteBody(body []byte, priority int64) []byte {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return body
 	}
 	fields["stream"] = json.RawMessage("true")
 	fields["priority"], _ = json.Marshal(priority)
-	rewritten, err := json.Marshal(fields)
+	out, err := json.Marshal(fields)
 	if err != nil {
 		return body
 	}
-	return rewritten
+	return out
 }
 
+// serveChat sends the request to one target after another until an answer is complete or no retry is allowed.
 func (s *Relayer) serveChat(h *chat) {
 	s.Budget.AddRequest()
 	for attempt := 1; ; attempt++ {
 		plan, refusal := s.route(h, attempt)
 		if refusal != nil {
-			s.giveUp(h, refusal)
+			s.abort(h, refusal)
 			return
 		}
 		err := s.attempt(h, plan)
 		if h.r.Context().Err() != nil {
 			s.Tracker.Finish(plan.Answer, false)
-			s.cut(h)
+			s.recordDisconnect(h)
 			return
 		}
 		s.Tracker.Finish(plan.Answer, err != nil)
@@ -122,15 +123,16 @@
 		h.tried[plan.Answer.ID] = true
 		s.Metrics.Counter("Retries").Inc(1)
 		h.logger.Info("Retry", zap.String("Target", string(plan.Answer.ID)), zap.Int64("Delivered", h.delivered), zap.Error(err))
-		if refusal := s.mayRetry(h, attempt); refusal != nil {
-			s.giveUp(h, refusal)
+		if refusal := s.retryRefusal(h, attempt); refusal != nil {
+			s.abort(h, refusal)
 			return
 		}
 	}
 }
 
-func (s *Relayer) mayRetry(h *chat, attempt int) *answerer.Refusal {
-	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, Return: shortReturn}
+// retryRefusal returns why a failed request is not retried, or nil if it is.
+func (s *Relayer) retryRefusal(h *chat, attempt int) *answerer.Refusal {
+	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, Return: shortRetryAfter}
 	switch {
 	case h.ctx.Err() != nil:
 		refusal.Status, refusal.Code = http.StatusGatewayTimeout, answerer.CodeTimeout
@@ -145,35 +147,35 @@
 	return refusal
 }
 
-// route admits the request on its first attempt and picks a target for it.
+// route plans an attempt and, if it is the first, decides on admission.
 func (s *Relayer) route(h *chat, attempt int) (tracker.Plan, *answerer.Refusal) {
 	req := router.Request{
 		Zone:         s.Zone,
-		PromptTokens: h.prompt + identifier.Tokens(h.delivered),
-		Parts:        h.pieces,
+		PromptTokens: h.promptTokens + identifier.Tokens(h.delivered),
+		Parts:        h.parts,
 		Random:       xxhash.Sum64String(string(h.id)) + uint64(attempt),
 		Allowed:      func(id identifier.TargetID) bool { return h.view.MayUse(h.team, id) },
 		Excluded:     func(id identifier.TargetID) bool { return h.tried[id] },
 	}
-	var compared []candidateLog
-	note := func(id identifier.TargetID, score router.Score) {
-		compared = append(compared, candidateLog{ID: id, PredictedMilliseconds: score.Predicted.Milliseconds(), CachedTokens: score.Cached})
+	var candidates []candidateLogEntry
+	onScore := func(id identifier.TargetID, score router.Score) {
+		candidates = append(candidates, candidateLogEntry{ID: id, PredictedMilliseconds: score.Predicted.Milliseconds(), CachedTokens: score.Cached})
 	}
 	name := tracker.ModelGroup(identifier.ModelID(h.request.Model))
-	plan, ok := s.Tracker.PlanCompletion(name, req, note)
+	plan, ok := s.Tracker.PlanCompletion(name, req, onScore)
 	if !ok && len(h.tried) > 0 {
-		// All usable targets failed once; one that failed may resume its own stream.
+		// Every usable target has failed once; allow them again, as they may still resume the stream.
 		clear(h.tried)
-		plan, ok = s.Tracker.PlanCompletion(name, req, note)
+		plan, ok = s.Tracker.PlanCompletion(name, req, onScore)
 	}
 	if !ok {
 		return plan, &answerer.Refusal{
-			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: ranSoFar(attempt),
-			Message: "no target can serve the request now", Return: shortReturn,
+			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: runBefore(attempt),
+			Message: "no target can serve the request now", Return: shortRetryAfter,
 		}
 	}
 	if attempt == 1 {
-		h.uncached = h.prompt - plan.Cached
+		h.uncachedTokens = h.promptTokens - plan.Cached
 		if refusal := s.admit(h, plan); refusal != nil {
 			s.Tracker.Release(plan)
 			return plan, refusal
@@ -182,117 +184,122 @@
 	h.logger.Info("Route",
 		zap.String("Model", h.request.Model),
 		zap.Int("Attempt", attempt),
-		zap.Int64("PromptTokens", int64(h.prompt)),
+		zap.Int64("PromptTokens", int64(h.promptTokens)),
 		zap.Int64("ResumeAt", h.delivered),
-		zap.Any("Candidates", compared),
+		zap.Any("Candidates", candidates),
 		zap.String("Chosen", string(plan.Answer.ID)),
 		zap.String("PrefillAt", string(plan.Prefill.ID)),
 		zap.String("Reason", "LowestPredictedFirstToken"))
 	return plan, nil
 }
 
-type candidateLog struct {
+// candidateLogEntry is a candidate in the log message Route; the field names are part of the log format.
+type candidateLogEntry struct {
 	ID                    identifier.TargetID
 	PredictedMilliseconds int64
 	CachedTokens          identifier.Tokens
 }
 
-func ranSoFar(attempt int) answerer.Run {
+// runBefore returns whether the request may have run before the given attempt.
+func runBefore(attempt int) answerer.Run {
 	if attempt == 1 {
 		return answerer.NotRun
 	}
 	return answerer.Unknown
 }
 
+// admit decides on admission and returns the refusal, or nil if the request is admitted.
 func (s *Relayer) admit(h *chat, plan tracker.Plan) *answerer.Refusal {
 	rate, share := s.Share(h.team, identifier.ModelID(h.request.Model))
-	verdict := limiter.Admit(limiter.AdmissionInput{
+	decision := limiter.Admit(limiter.AdmissionInput{
 		Predicted: plan.Predicted,
 		LateShare: plan.Late,
 		Promised:  time.Duration(h.view.Promise().GetFirstTokenMilliseconds()) * time.Millisecond,
 		TeamRate:  rate,
 		TeamShare: share,
 	})
-	if verdict.Admitted {
+	if decision.Admitted {
 		return nil
 	}
-	s.Meter.AddRefused(identifier.ModelID(h.request.Model), h.uncached)
+	s.Meter.AddRefused(identifier.ModelID(h.request.Model), h.uncachedTokens)
 	code := answerer.CodeOverloaded
-	if verdict.Reason == "OverShare" {
+	if decision.Reason == "OverShare" {
 		code = answerer.CodeOverShare
 	}
 	return &answerer.Refusal{
 		Status: http.StatusTooManyRequests, Code: code, Run: answerer.NotRun,
-		Message: "the promised latency cannot be met now: " + verdict.Reason, Return: verdict.RetryAfter,
+		Message: "the promised latency cannot be met now: " + decision.Reason, Return: decision.RetryAfter,
 	}
 }
 
-// giveUp ends a request at once: by an error answer, or by an error event where the answer has begun.
-func (s *Relayer) giveUp(h *chat, refusal *answerer.Refusal) {
-	if !h.started {
+// abort ends a request with an error response, or with an error event if the response has already started.
+func (s *Relayer) abort(h *chat, refusal *answerer.Refusal) {
+	if !h.headerWritten {
 		s.refuse(h.call, refusal)
 		s.account(h, 0)
 		return
 	}
 	h.logger.Info("Refuse", zap.String("Code", string(refusal.Code)), zap.Int64("Delivered", h.delivered))
-	s.countCut(h)
+	s.accountInterrupted(h)
 	writeData(h.w, refusal.Event())
 	flush(h.w)
 	panic(http.ErrAbortHandler)
 }
 
-// cut accounts a request whose caller has gone.
-func (s *Relayer) cut(h *chat) {
+// recordDisconnect accounts a request whose caller has closed the connection.
+func (s *Relayer) recordDisconnect(h *chat) {
 	h.logger.Info("Cut", zap.Int64("Delivered", h.delivered))
-	s.countCut(h)
+	s.accountInterrupted(h)
 }
 
-func (s *Relayer) countCut(h *chat) {
+// accountInterrupted accounts an answer that was not completed.
+func (s *Relayer) accountInterrupted(h *chat) {
 	s.Ledger.Add(&recorder.TeamUsage{Team: string(h.team), Cut: 1})
 	s.account(h, 0)
 }
 
-// finish accounts the answer before its last bytes go out, so that no finished answer can be lost from the usage.
+// finish accounts the answer before it sends the last bytes, so that no completed answer is missing from the usage.
 func (s *Relayer) finish(h *chat) {
 	s.account(h, 1)
 	s.Meter.RecordAnswerLength(identifier.ModelID(h.request.Model), identifier.Tokens(h.delivered))
-	s.settle(h.ctx)
+	s.syncUsage(h.ctx)
 	if h.request.Stream {
 		chatter.WriteDone(h.w)
 		flush(h.w)
 	} else {
 		h.w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(h.w).Encode(chatter.NewCompletion(string(h.id), h.request.Model, h.text.String(), int64(h.prompt), h.delivered))
+		json.NewEncoder(h.w).Encode(chatter.NewCompletion(string(h.id), h.request.Model, h.text.String(), int64(h.promptTokens), h.delivered))
 	}
 	s.Metrics.Counter("Answers").Inc(1)
 	s.Metrics.Counter("OutputTokens").Inc(h.delivered)
-	s.Metrics.Timer("AnswerTime").Record(time.Since(h.began))
-	h.logger.Info("Finish", zap.Int64("OutputTokens", h.delivered), zap.Duration("Took", time.Since(h.began)))
+	s.Metrics.Timer("AnswerTime").Record(time.Since(h.startedAt))
+	h.logger.Info("Finish", zap.Int64("OutputTokens", h.delivered), zap.Duration("Took", time.Since(h.startedAt)))
 }
 
-// account counts what was not counted before: the prompt with the first token, and the output so far.
+// account adds the usage since the last call: the prompt once the first token is delivered, and the new output tokens.
 func (s *Relayer) account(h *chat, finished int64) {
-	u := &recorder.TeamUsage{Team: string(h.team), Requests: finished, OutputTokens: h.delivered - h.accounted}
-	if h.accounted == 0 && h.delivered > 0 {
-		u.PromptTokens = int64(h.prompt)
+	u := &recorder.TeamUsage{Team: string(h.team), Requests: finished, OutputTokens: h.delivered - h.accountedTokens}
+	if h.accountedTokens == 0 && h.delivered > 0 {
+		u.PromptTokens = int64(h.promptTokens)
 	}
 	subject := limiter.RateKey{Team: h.team, Model: identifier.ModelID(h.request.Model)}
-	computed := identifier.Tokens(0)
+	prefillTokens := identifier.Tokens(0)
 	if u.PromptTokens > 0 {
-		computed = h.uncached
+		prefillTokens = h.uncachedTokens
 	}
-	s.Meter.Add(subject, computed, identifier.Tokens(u.OutputTokens))
+	s.Meter.Add(subject, prefillTokens, identifier.Tokens(u.OutputTokens))
 	s.Ledger.Add(u)
-	h.accounted = h.delivered
-	h.countedAt = time.Now()
+	h.accountedTokens = h.delivered
+	h.accountedAt = time.Now()
 	if h.plan.Answer.ID != "" {
-		s.Tracker.ObserveTokens(h.plan.Answer, h.late, h.tokens)
-		h.late, h.tokens = 0, 0
+		s.Tracker.ObserveTokens(h.plan.Answer, h.lateTokens, h.tokens)
+		h.lateTokens, h.tokens = 0, 0
 	}
 }
 
-// withStall returns a context that is cancelled when the returned function was not called for long enough.
-func withStall(ctx context.Context, first time.Duration) (context.Context, func(next time.Duration), context.CancelFunc) {
+// withStallTimeout returns a context that is cancelled after the duration first unless the returned function is called
+// before; each call restarts the timer with the given duration.
+func withStallTimeout(ctx context.Context, first time.Duration) (context.Context, func(next time.Duration), context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(first, cancel)
 	stop := func() {
--- a/internal/relayer/doc.go
+++ b/internal/relayer/doc.go
@@ -1,2 +1,3 @@
-// Package relayer serves callers: it admits, routes, relays, resumes and accounts their requests.
+// Package relayer serves callers' requests: it authenticates and admits them, routes them to targets, relays the
+// answers, resumes interrupted ones on another target and accounts the usage.
 package relayer
--- a/internal/relayer/intake_test.go
+++ b/internal/relayer/intake_test.go
@@ -18,8 +18,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// send writes raw bytes to a relayer's server, closes its side if told to, and returns the answer.
-func send(t *testing.T, raw string, half bool) *http.Response {
+// send writes raw bytes to a relayer's server, closes its write side if closeWrite is set, and returns the response.
+func send(t *testing.T, raw string, closeWrite bool) *http.Response {
 	r := newRelayer()
 	r.Limits.BodyTimeout = 200 * time.Millisecond
 	srv := httptest.NewServer(http.HandlerFunc(r.Chat))
@@ -28,7 +28,7 @@
 	quicktest.Assert(t, err, quicktest.IsNil)
 	t.Cleanup(func() { conn.Close() })
 	fmt.Fprint(conn, raw)
-	if half {
+	if closeWrite {
 		conn.(*net.TCPConn).CloseWrite()
 	}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -37,26 +37,27 @@
 	return resp
 }
 
-func TestBodiesThatDoNotArrive(t *testing.T) {
+func TestUnreadableBodies(t *testing.T) {
 	const head = "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer secret\r\nContent-Length: %d\r\n\r\n"
 	for name, tc := range map[string]struct {
-		raw    string
-		half   bool
-		status int
+		raw        string
+		closeWrite bool
+		status     int
 	}{
 		"too slow":  {fmt.Sprintf(head, 100) + "{", false, http.StatusRequestTimeout},
 		"cut short": {fmt.Sprintf(head, 100) + "{", true, http.StatusBadRequest},
 		"too large": {fmt.Sprintf(head, 2<<20), false, http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			resp := send(t, tc.raw, tc.half)
+			resp := send(t, tc.raw, tc.closeWrite)
 			quicktest.Check(t, resp.StatusCode, quicktest.Equals, tc.status)
 			quicktest.Check(t, resp.Header.Get(answerer.RunHeader), quicktest.Equals, string(answerer.NotRun))
 		})
 	}
 }
 
-func TestKeyWithdrawnWhileTheBodyComesIn(t *testing.T) {
+// TestKeyWithdrawnDuringBody guards against serving a request whose key is withdrawn while its body is being read.
+func TestKeyWithdrawnDuringBody(t *testing.T) {
 	r := newRelayer()
 	granted := r.View()
 	var withdrawn atomic.Bool
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -17,17 +17,18 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 )
 
-// A call with an idempotency key leaves two records in the journal: the dispatch before the first
-// byte goes to the target, and the result after its answer. The first dispatch of a key in stream
-// order wins, and only its writer sends the call, once.
+// A call with an idempotency key has two records in the journal: the dispatch, committed before the first byte is
+// sent to the target, and the result, committed after the answer. The first dispatch of a key in log order wins,
+// and only its writer sends the call, once.
 
-// inFlightKeys are the keys that this instance is serving; the zero value is empty.
+// inFlightKeys is the set of keys that this instance is serving. The zero value is an empty set.
 type inFlightKeys struct {
 	mu   sync.Mutex
 	keys map[string]bool
 }
 
-func (f *inFlightKeys) enter(key string) bool {
+// add reports whether the key was absent and has been added.
+func (f *inFlightKeys) add(key string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.keys == nil {
@@ -40,36 +41,37 @@
 	return true
 }
 
-func (f *inFlightKeys) exit(key string) {
+func (f *inFlightKeys) remove(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.keys, key)
 }
 
+// serveKeyed serves a call with an idempotency key whose target must not run it twice.
 func (s *Relayer) serveKeyed(v *serviceCall) {
 	key := string(v.team) + "/" + v.key()
-	digest := digestOf(v)
+	digest := requestDigest(v)
 	if !s.Journal.Ready() {
-		s.refuse(v.call, journalDown())
+		s.refuse(v.call, journalUnavailable())
 		return
 	}
-	if !s.inFlight.enter(key) {
+	if !s.inFlight.add(key) {
 		s.refuse(v.call, inProgress())
 		return
 	}
-	defer s.inFlight.exit(key)
-	if known := s.Journal.Entry(key); known != nil {
-		s.answerKnown(v, known, digest)
+	defer s.inFlight.remove(key)
+	if entry := s.Journal.Entry(key); entry != nil {
+		s.replyFromJournal(v, entry, digest)
 		return
 	}
-	handle, refusal := s.routeService(v, 1)
+	assignment, refusal := s.routeService(v, 1)
 	if refusal != nil {
 		s.refuse(v.call, refusal)
 		return
 	}
 	dispatchID, refusal := s.dispatch(v, key, digest)
 	if dispatchID == "" {
-		s.Tracker.Release(tracker.Plan{Answer: handle})
+		s.Tracker.Release(tracker.Plan{Answer: assignment})
 		if refusal != nil {
 			s.refuse(v.call, refusal)
 		}
@@ -77,50 +79,51 @@
 	}
 	winner := s.Journal.Entry(key)
 	asserter.That(winner != nil && winner.DispatchID == dispatchID && winner.Result == nil, asserter.WinnerSends, "key %s", key)
-	answer, err := s.send(v, handle)
-	s.Tracker.Finish(handle, err != nil)
+	answer, err := s.send(v, assignment)
+	s.Tracker.Finish(assignment, err != nil)
 	if err != nil {
 		s.failKeyed(v, key, dispatchID, err)
 		return
 	}
 	s.records.Go(func() { s.recordResult(key, dispatchID, answer) })
-	s.answer(v, answer)
+	s.respond(v, answer)
 }
 
-// dispatch records that this instance will send the call, and returns the record's id if it may.
+// dispatch records that this instance will send the call. It returns the id of the record if this instance may send
+// it; otherwise the id is empty and the caller has been answered, unless a refusal is returned.
 func (s *Relayer) dispatch(v *serviceCall, key, digest string) (string, *answerer.Refusal) {
 	record := s.Journal.NewRecord()
 	record.Body = &recorder.Record_Dispatch{Dispatch: &recorder.Dispatch{Key: key, Digest: digest}}
 	ctx, cancel := context.WithTimeout(v.ctx, dispatchTimeout)
 	defer cancel()
 	if err := s.Journal.Commit(ctx, record); err != nil {
-		// The call was not sent and will not be, whether or not the dispatch takes effect.
-		s.records.Go(func() { s.release(key, record.ID) })
-		return "", journalDown()
+		// The dispatch may still take effect, but this instance will not send the call: release the key.
+		s.records.Go(func() { s.releaseKey(key, record.ID) })
+		return "", journalUnavailable()
 	}
 	entry := s.Journal.Entry(key)
 	if entry == nil || entry.DispatchID != record.ID {
 		if entry == nil {
 			return "", outcomeUnknown()
 		}
-		s.answerKnown(v, entry, digest)
+		s.replyFromJournal(v, entry, digest)
 		return "", nil
 	}
 	if v.ctx.Err() != nil {
-		s.release(key, record.ID)
+		s.releaseKey(key, record.ID)
 		return "", targetFailed(answerer.NotRun)
 	}
 	v.logger.Info("Dispatch", zap.String("RecordID", record.ID), zap.Uint64("Offset", entry.Offset))
 	return record.ID, nil
 }
 
-// answerKnown answers a duplicate from the journal.
-func (s *Relayer) answerKnown(v *serviceCall, entry *recorder.JournalEntry, digest string) {
+// replyFromJournal answers a duplicate call from its journal entry.
+func (s *Relayer) replyFromJournal(v *serviceCall, entry *recorder.JournalEntry, digest string) {
 	switch result := entry.Result; {
 	case entry.Digest != digest:
 		s.refuse(v.call, &answerer.Refusal{
 			Status: http.StatusUnprocessableEntity, Code: answerer.CodeKeyReused, Run: answerer.NotRun,
-			Message: "the idempotency key was used for another call",
+			Message: "the idempotency key was used for a different call",
 		})
 	case result == nil:
 		s.refuse(v.call, outcomeUnknown())
@@ -133,10 +136,11 @@
 	}
 }
 
+// failKeyed refuses a call whose send failed, and releases its key if the target cannot have run it.
 func (s *Relayer) failKeyed(v *serviceCall, key, dispatchID string, err error) {
 	v.logger.Info("Fail", zap.Error(err))
 	if errors.Is(err, ErrNotSent) {
-		s.release(key, dispatchID)
+		s.releaseKey(key, dispatchID)
 		s.refuse(v.call, targetFailed(answerer.NotRun))
 		return
 	}
@@ -145,14 +149,14 @@
 
 func (s *Relayer) recordResult(key, dispatchID string, a *reply) {
 	result := &recorder.Result{Key: key, DispatchID: dispatchID, Status: int32(a.status), ContentType: a.contentType, Body: a.body}
-	if len(a.body) > replayBytes {
+	if len(a.body) > maximumReplayBytes {
 		result.Body, result.Truncated = nil, true
 	}
 	s.commitResult(result, resultTimeout)
 }
 
-// release lets a key be dispatched again whose call was never sent.
-func (s *Relayer) release(key, dispatchID string) {
+// releaseKey allows a new dispatch of a key whose call was never sent.
+func (s *Relayer) releaseKey(key, dispatchID string) {
 	s.commitResult(&recorder.Result{Key: key, DispatchID: dispatchID, Released: true}, dispatchTimeout)
 }
 
@@ -166,30 +170,31 @@
 	}
 }
 
-func digestOf(v *serviceCall) string {
+// requestDigest returns a hash of the method, URI and body, which detects a key that is used for a different call.
+func requestDigest(v *serviceCall) string {
 	sum := sha256.New()
 	sum.Write([]byte(v.r.Method + " " + v.r.URL.RequestURI() + "\n"))
 	sum.Write(v.body)
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-func journalDown() *answerer.Refusal {
+func journalUnavailable() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalDown, Run: answerer.NotRun,
-		Message: "the call cannot be recorded now, and is not sent without its record", Return: journalReturn,
+		Message: "the call cannot be recorded now, so it was not sent", Return: journalRetryAfter,
 	}
 }
 
 func inProgress() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeInProgress, Run: answerer.Unknown,
-		Message: "a call under this idempotency key is under way", Return: shortReturn,
+		Message: "a call with this idempotency key is in progress", Return: shortRetryAfter,
 	}
 }
 
 func outcomeUnknown() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeOutcomeOpen, Run: answerer.Unknown,
-		Message: "a call under this idempotency key was sent and its outcome is not known", Return: shortReturn,
+		Message: "a call with this idempotency key was sent and its outcome is unknown", Return: shortRetryAfter,
 	}
 }
--- a/internal/relayer/relay_test.go
+++ b/internal/relayer/relay_test.go
@@ -35,41 +35,45 @@
 	return b.String()
 }
 
-func last(id string) string {
+// finalEvents returns the final chunk and the end of a request's answer.
+func finalEvents(id string) string {
 	var b strings.Builder
 	chatter.WriteEvent(&b, tokens, chatter.NewFinalChunk(id, "m", 1, tokens))
 	chatter.WriteDone(&b)
 	return b.String()
 }
 
-func whole(id string, from int64) string {
+// answerFrom returns a request's answer without its first tokens.
+func answerFrom(id string, from int64) string {
 	var b strings.Builder
 	for n := from + 1; n <= tokens; n++ {
 		b.WriteString(chunk(id, n))
 	}
-	return b.String() + last(id)
+	return b.String() + finalEvents(id)
 }
 
-// misbehaviour writes a first answer that is wrong in some way.
-type misbehaviour func(w http.ResponseWriter, id string)
+// faultyAnswer writes an answer with some fault.
+type faultyAnswer func(w http.ResponseWriter, id string)
 
-var misbehaviours = map[string]misbehaviour{
+var faultyAnswers = map[string]faultyAnswer{
 	"truncated":       func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 2)) },
 	"cut in an event": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 2)[:20]) },
-	"doubled tokens":  func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 1), whole(id, 1)) },
-	"gap":             func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), whole(id, 2)) },
-	"another's chunk": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk("other", 2), whole(id, 2)) },
-	"no last chunk":   func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "data: [DONE]\n\n") },
-	"not an event":    func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "id: x\ndata: {}\n\n") },
-	"error status":    func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) },
+	"duplicate token": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 1), answerFrom(id, 1)) },
+	"gap":             func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), answerFrom(id, 2)) },
+	"another's chunk": func(w http.ResponseWriter, id string) {
+		fmt.Fprint(w, chunk(id, 1), chunk("other", 2), answerFrom(id, 2))
+	},
+	"no last chunk": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "data: [DONE]\n\n") },
+	"not an event":  func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "id: x\ndata: {}\n\n") },
+	"error status":  func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) },
 	"another's answer": func(w http.ResponseWriter, id string) {
 		w.Header().Set(chatter.RequestIDHeader, "other")
-		fmt.Fprint(w, whole("other", 0))
+		fmt.Fprint(w, answerFrom("other", 0))
 	},
 }
 
-// target answers the first request with a misbehaviour and the others well, from the token asked for.
-func target(t *testing.T, bad misbehaviour) *httptest.Server {
+// target gives a faulty answer to the first request and correct ones, from the requested token on, to later requests.
+func target(t *testing.T, faulty faultyAnswer) *httptest.Server {
 	first := true
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(chatter.RequestIDHeader)
@@ -80,12 +84,12 @@
 		w.Header().Set(chatter.RequestIDHeader, id)
 		if first {
 			first = false
-			bad(w, id)
+			faulty(w, id)
 			return
 		}
 		var from int64
 		fmt.Sscan(r.Header.Get(chatter.ResumeHeader), &from)
-		fmt.Fprint(w, whole(id, from))
+		fmt.Fprint(w, answerFrom(id, from))
 	}))
 	t.Cleanup(srv.Close)
 	return srv
@@ -145,14 +149,15 @@
 	}
 }
 
-func TestAnswerIsWholeWhateverTheFirstTargetDoes(t *testing.T) {
-	for name, bad := range misbehaviours {
+// TestFaultyAnswersAreResumed checks that the caller gets the complete answer even if every target fails once.
+func TestFaultyAnswersAreResumed(t *testing.T) {
+	for name, faulty := range faultyAnswers {
 		for _, stream := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/stream=%t", name, stream), func(t *testing.T) {
 				var addresses []string
 				for range 3 {
-					// Each target misbehaves once, so that the answer needs several resumptions.
-					addresses = append(addresses, target(t, bad).Listener.Addr().String())
+					// Each target fails once, so that the answer is resumed several times.
+					addresses = append(addresses, target(t, faulty).Listener.Addr().String())
 				}
 				r := newRelayer(addresses...)
 				quicktest.Check(t, ask(t, r, stream), quicktest.Equals, "t1 t2 t3 t4 t5 t6 ")
@@ -161,17 +166,19 @@
 	}
 }
 
-// TestPlainCopyIsNotEnough shows that the misbehaviours do reach a caller when bytes are only copied.
-func TestPlainCopyIsNotEnough(t *testing.T) {
-	for name, bad := range misbehaviours {
+// TestFaultyAnswersDifferFromCorrectOnes checks that each fault would reach the caller if bytes were only copied.
+func TestFaultyAnswersDifferFromCorrectOnes(t *testing.T) {
+	for name, faulty := range faultyAnswers {
 		w := httptest.NewRecorder()
-		bad(w, "id")
-		right := w.Code == http.StatusOK && w.Body.String() == whole("id", 0) && w.Header().Get(chatter.RequestIDHeader) != "other"
-		quicktest.Check(t, right, quicktest.IsFalse, quicktest.Commentf(name))
+		faulty(w, "id")
+		correct := w.Code == http.StatusOK && w.Body.String() == answerFrom("id", 0) && w.Header().Get(chatter.RequestIDHeader) != "other"
+		quicktest.Check(t, correct, quicktest.IsFalse, quicktest.Commentf(name))
 	}
 }
 
-func TestGivesUpAtOnceWithAnErrorEvent(t *testing.T) {
+// TestAbortsWithErrorEvent checks that a started stream that cannot be completed ends with an error event well before
+// the request timeout.
+func TestAbortsWithErrorEvent(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(chatter.RequestIDHeader)
 		w.Header().Set(chatter.RequestIDHeader, id)
@@ -185,9 +192,9 @@
 	req := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", bytes.NewReader(body))
 	req.Header.Set("Authorization", "Bearer secret")
 	w := httptest.NewRecorder()
-	began := time.Now()
+	start := time.Now()
 	quicktest.Check(t, func() { r.Chat(w, req) }, quicktest.PanicMatches, ".*abort Handler.*")
-	quicktest.Check(t, time.Since(began) < 4*time.Second, quicktest.IsTrue)
+	quicktest.Check(t, time.Since(start) < 4*time.Second, quicktest.IsTrue)
 	quicktest.Check(t, w.Body.String(), quicktest.Contains, `"Run":"Unknown"`)
 	quicktest.Check(t, w.Body.String(), quicktest.Not(quicktest.Contains), "[DONE]")
 }
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -23,19 +23,20 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Journal decides who may send a request that must not run twice.
+// Journal decides which instance may send a request that must not run twice.
 type Journal interface {
 	// Ready reports whether dispatches can be recorded now.
 	Ready() bool
-	// Entry returns what is known of a key, or nil.
+	// Entry returns the entry of a key, or nil.
 	Entry(key string) *recorder.JournalEntry
-	// Commit appends a record and returns once it was read back.
+	// Commit appends a record and returns once it has been read back.
 	Commit(ctx context.Context, r *recorder.Record) error
-	// NewRecord returns a record of this writer under a fresh id.
+	// NewRecord returns a record of this writer with a new id.
 	NewRecord() *recorder.Record
 }
 
-// Relayer serves callers' requests; all exported fields must be set.
+// Relayer serves callers' requests. All exported fields must be set. NoKeepAliveHTTP reuses no connection, because
+// the transport may resend a request when a reused connection breaks.
 type Relayer struct {
 	Zone            identifier.ZoneID
 	Limits          parser.Limits
@@ -55,7 +56,7 @@
 	records         sync.WaitGroup
 }
 
-// call is one request of a caller.
+// call is a request of a caller.
 type call struct {
 	id     identifier.RequestID
 	team   identifier.TeamID
@@ -68,17 +69,17 @@
 	sent atomic.Bool
 }
 
-// newCall names a request and gives it a logger.
+// newCall assigns a request its id and a logger with that id.
 func (s *Relayer) newCall(w http.ResponseWriter, r *http.Request) *call {
 	id := identifier.RequestID(uuid.NewString())
 	w.Header().Set("X-Request-Id", string(id))
 	return &call{id: id, w: w, r: r, logger: s.Logger.With(zap.String("RequestID", string(id)))}
 }
 
-// receive identifies the caller and reads the body, or returns why the request is refused. The caller is
-// identified again after the body, because the key may have been withdrawn while it came in.
+// receive authenticates the caller and reads the body, or returns why the request is refused. It authenticates again
+// after reading the body, because the key may have been withdrawn in the meantime.
 func (s *Relayer) receive(c *call, open bool, check func(*call) *answerer.Refusal) ([]byte, *answerer.Refusal) {
-	if refusal := s.identify(c, open); refusal != nil {
+	if refusal := s.authenticate(c, open); refusal != nil {
 		return nil, refusal
 	}
 	c.logger = c.logger.With(zap.String("Team", string(c.team)))
@@ -89,18 +90,18 @@
 	if refusal != nil {
 		return nil, refusal
 	}
-	return body, s.identify(c, open)
+	return body, s.authenticate(c, open)
 }
 
-// identify finds the team whose key came with the request; routes open to all need no key.
-func (s *Relayer) identify(c *call, open bool) *answerer.Refusal {
-	// The view is taken after the check, so that it is at least as new as the check needs.
+// authenticate sets the view and the team whose key the request carries; open routes need no key.
+func (s *Relayer) authenticate(c *call, open bool) *answerer.Refusal {
+	// Load the view after the check, so that it is at least as new as the one that the check relied on.
 	serving := s.Serving()
 	c.view = s.View()
 	if !serving {
 		return &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNotServing, Run: answerer.NotRun,
-			Message: "this instance cannot tell whether its configuration is current", Return: shortReturn,
+			Message: "this instance cannot tell whether its configuration is current", Return: shortRetryAfter,
 		}
 	}
 	if open {
@@ -108,10 +109,10 @@
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return unauthorized("the Authorization header holds no bearer key")
+		return unauthorized("the Authorization header has no bearer key")
 	}
 	if c.team, ok = c.view.Team(identifier.HashKey(key)); !ok {
-		return unauthorized("the key is not granted")
+		return unauthorized("the key is unknown or has been withdrawn")
 	}
 	return nil
 }
@@ -120,7 +121,7 @@
 	return &answerer.Refusal{Status: http.StatusUnauthorized, Code: answerer.CodeUnauthorized, Run: answerer.NotRun, Message: message}
 }
 
-// refuse writes a final answer and counts it.
+// refuse writes a refusal to the caller and counts it.
 func (s *Relayer) refuse(c *call, refusal *answerer.Refusal) {
 	asserter.That(refusal.Run != answerer.NotRun || !c.sent.Load(), asserter.NotRunIsTrue, "request %s: %s", c.id, refusal.Code)
 	s.Metrics.Tagged(map[string]string{"Code": string(refusal.Code)}).Counter("Refusals").Inc(1)
@@ -135,18 +136,19 @@
 	refusal.Write(c.w)
 }
 
-// Drain waits until the results of all calls are recorded or given up.
+// Drain waits until the result records of all calls are committed or have failed.
 func (s *Relayer) Drain() { s.records.Wait() }
 
-// settle waits briefly until a peer holds the usage of a finished answer.
-func (s *Relayer) settle(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
+// syncUsage waits up to usageSyncTimeout until a peer has a copy of the usage of a finished answer.
+func (s *Relayer) syncUsage(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, usageSyncTimeout)
 	defer cancel()
 	if err := s.Ledger.Sync(ctx); err != nil {
 		s.Metrics.Counter("UsageNotMirrored").Inc(1)
 	}
 }
 
-func (s *Relayer) deadline(r *http.Request) (context.Context, context.CancelFunc) {
+// requestContext returns the context of a request, limited by the request timeout.
+func (s *Relayer) requestContext(r *http.Request) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), s.Limits.RequestTimeout)
 }
--- a/internal/relayer/run_test.go
+++ b/internal/relayer/run_test.go
@@ -18,7 +18,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/relayer"
 )
 
-// journal applies records at once.
+// journal is an in-memory journal that applies each record immediately.
 type journal struct {
 	fold journaler.Fold
 	next int
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// newServiceRelayer routes /run to a service at an address.
+// newServiceRelayer returns a relayer that routes /run to a service at an address.
 func newServiceRelayer(address string) *relayer.Relayer {
 	r := newRelayer()
 	state := r.View().State
@@ -51,25 +51,26 @@
 	return r
 }
 
-// TestRunIsToldTruly lets a service execute a call and cut the connection, refuse connections, or answer.
-func TestRunIsToldTruly(t *testing.T) {
+// TestRunHeaderMatchesExecution checks that an error is reported as NotRun only if the service did not execute the
+// call: once for a service that executes it and breaks the connection, and once for one that refuses connections.
+func TestRunHeaderMatchesExecution(t *testing.T) {
 	var executions atomic.Int64
-	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		executions.Add(1)
 		panic(http.ErrAbortHandler)
 	}))
-	defer cut.Close()
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	defer broken.Close()
+	closed := httptest.NewServer(http.NotFoundHandler())
+	closed.Close()
 	for name, tc := range map[string]struct {
-		address string
-		body    string
-		run     answerer.Run
-		ran     int64
+		address        string
+		body           string
+		run            answerer.Run
+		wantExecutions int64
 	}{
-		"executed and cut":               {cut.Listener.Addr().String(), "x", answerer.Unknown, 1},
-		"executed and cut, without body": {cut.Listener.Addr().String(), "", answerer.Unknown, 1},
-		"no connection":                  {gone.Listener.Addr().String(), "x", answerer.NotRun, 0},
+		"executed, connection broken":               {broken.Listener.Addr().String(), "x", answerer.Unknown, 1},
+		"executed, connection broken, without body": {broken.Listener.Addr().String(), "", answerer.Unknown, 1},
+		"no connection":                             {closed.Listener.Addr().String(), "x", answerer.NotRun, 0},
 	} {
 		for _, key := range []string{"", "k"} {
 			executions.Store(0)
@@ -83,17 +84,17 @@
 			r.Service(w, req)
 			c := quicktest.Commentf("%s, key %q: %s", name, key, w.Body)
 			quicktest.Check(t, answerer.Run(w.Header().Get(answerer.RunHeader)), quicktest.Equals, tc.run, c)
-			quicktest.Check(t, executions.Load(), quicktest.Equals, tc.ran, c)
+			quicktest.Check(t, executions.Load(), quicktest.Equals, tc.wantExecutions, c)
 		}
 	}
 }
 
-// TestReusedConnectionsWouldRunTwice shows why calls that must not run twice have connections of their own:
-// the transport sends a request with an idempotency key and without a body again when a kept connection breaks.
-func TestReusedConnectionsWouldRunTwice(t *testing.T) {
+// TestReusedConnectionResendsRequest shows why calls that must not run twice use new connections: the transport resends
+// a request with an idempotency key and without a body when a reused connection breaks.
+func TestReusedConnectionResendsRequest(t *testing.T) {
 	for _, tc := range []struct {
-		reuse bool
-		ran   int64
+		reuse          bool
+		wantExecutions int64
 	}{{true, 2}, {false, 1}} {
 		var executions atomic.Int64
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -104,15 +105,15 @@
 			panic(http.ErrAbortHandler)
 		}))
 		client := networker.Client(networker.TCP{}, tc.reuse)
-		warm, err := client.Get(srv.URL)
+		resp, err := client.Get(srv.URL)
 		quicktest.Assert(t, err, quicktest.IsNil)
-		warm.Body.Close()
+		resp.Body.Close()
 		req, err := http.NewRequest(http.MethodPost, srv.URL, nil)
 		quicktest.Assert(t, err, quicktest.IsNil)
 		req.Header.Set("Idempotency-Key", "k")
 		_, err = client.Do(req)
 		quicktest.Check(t, err, quicktest.IsNotNil)
-		quicktest.Check(t, executions.Load(), quicktest.Equals, tc.ran, quicktest.Commentf("reuse %t", tc.reuse))
+		quicktest.Check(t, executions.Load(), quicktest.Equals, tc.wantExecutions, quicktest.Commentf("reuse %t", tc.reuse))
 		srv.Close()
 	}
 }
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -22,10 +22,10 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrNotSent is returned when no connection to the target came about, so that the request cannot have run.
+// ErrNotSent is returned when no connection to the target was established, so that the request cannot have run.
 var ErrNotSent = errors.New("request not sent")
 
-// serviceCall is a call to a plain service under way.
+// serviceCall is a call to a plain service in progress.
 type serviceCall struct {
 	*call
 	route *recorder.Route
@@ -33,7 +33,7 @@
 	tried map[identifier.TargetID]bool
 }
 
-// reply is a target's whole answer.
+// reply is the complete answer of a target.
 type reply struct {
 	status      int
 	contentType string
@@ -49,7 +49,7 @@
 		s.refuse(c, refusal)
 		return
 	}
-	ctx, cancel := s.deadline(r)
+	ctx, cancel := s.requestContext(r)
 	defer cancel()
 	c.ctx = ctx
 	v := &serviceCall{call: c, route: route, body: body, tried: map[identifier.TargetID]bool{}}
@@ -60,6 +60,7 @@
 	s.serveService(v)
 }
 
+// checkRoute returns a refusal if there is no route or the team may not use it.
 func checkRoute(route *recorder.Route, c *call) *answerer.Refusal {
 	if route == nil {
 		return &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRoute, Run: answerer.NotRun, Message: "no route for " + c.r.URL.Path}
@@ -70,24 +71,25 @@
 	return nil
 }
 
+// repeatable reports whether the call may be sent more than once.
 func (v *serviceCall) repeatable() bool {
 	return v.route.Repeatable || v.r.Method == http.MethodGet || v.r.Method == http.MethodHead
 }
 
-func (v *serviceCall) key() string { return v.r.Header.Get(idempotencyKey) }
+func (v *serviceCall) key() string { return v.r.Header.Get(idempotencyKeyHeader) }
 
-// serveService sends a call without a record: again only if it may be repeated or did not leave this instance.
+// serveService serves a call without a journal record. It retries only calls that are repeatable or were not sent.
 func (s *Relayer) serveService(v *serviceCall) {
 	s.Budget.AddRequest()
 	run := answerer.NotRun
 	for attempt := 1; ; attempt++ {
-		answer, refusal, err := s.sendOnce(v, attempt)
+		answer, refusal, err := s.routeAndSend(v, attempt)
 		if refusal != nil {
 			s.refuse(v.call, refusal)
 			return
 		}
 		if err == nil {
-			s.answer(v, answer)
+			s.respond(v, answer)
 			return
 		}
 		notSent := errors.Is(err, ErrNotSent)
@@ -103,20 +105,20 @@
 }
 
 func targetFailed(run answerer.Run) *answerer.Refusal {
-	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", Return: shortReturn}
+	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", Return: shortRetryAfter}
 }
 
-// sendOnce picks a target and sends the call to it.
-func (s *Relayer) sendOnce(v *serviceCall, attempt int) (*reply, *answerer.Refusal, error) {
-	handle, refusal := s.routeService(v, attempt)
+// routeAndSend chooses a target and sends the call to it.
+func (s *Relayer) routeAndSend(v *serviceCall, attempt int) (*reply, *answerer.Refusal, error) {
+	assignment, refusal := s.routeService(v, attempt)
 	if refusal != nil {
 		return nil, refusal, nil
 	}
-	answer, err := s.send(v, handle)
-	s.Tracker.Finish(handle, err != nil && v.r.Context().Err() == nil)
+	answer, err := s.send(v, assignment)
+	s.Tracker.Finish(assignment, err != nil && v.r.Context().Err() == nil)
 	if err != nil {
-		v.tried[handle.ID] = true
-		v.logger.Info("Retry", zap.String("Target", string(handle.ID)), zap.Error(err))
+		v.tried[assignment.ID] = true
+		v.logger.Info("Retry", zap.String("Target", string(assignment.ID)), zap.Error(err))
 	}
 	return answer, nil, err
 }
@@ -129,38 +131,39 @@
 		Allowed:     func(id identifier.TargetID) bool { return v.view.MayUse(v.team, id) },
 		Excluded:    func(id identifier.TargetID) bool { return v.tried[id] },
 	}
-	handle, _, ok := s.Tracker.Choose(tracker.ServiceGroup(v.route.Service), req, nil)
+	assignment, _, ok := s.Tracker.Choose(tracker.ServiceGroup(v.route.Service), req, nil)
 	if !ok {
 		run := answerer.NotRun
 		if len(v.tried) > 0 && v.repeatable() {
 			run = answerer.Unknown
 		}
-		return handle, &answerer.Refusal{
+		return assignment, &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: run,
-			Message: "no target can serve the call now", Return: shortReturn,
+			Message: "no target can serve the call now", Return: shortRetryAfter,
 		}
 	}
 	v.logger.Info("Route",
 		zap.String("Service", v.route.Service),
 		zap.Int("Attempt", attempt),
-		zap.String("Chosen", string(handle.ID)),
+		zap.String("Chosen", string(assignment.ID)),
 		zap.String("Reason", "LeastBusyDrawn"))
-	return handle, nil
+	return assignment, nil
 }
 
-// send sends the call on a connection of its own unless it may be repeated; ErrNotSent means that it cannot have run.
-func (s *Relayer) send(v *serviceCall, handle tracker.Assignment) (*reply, error) {
+// send sends the call to its target, on a new connection unless the call is repeatable. ErrNotSent means that it
+// cannot have run.
+func (s *Relayer) send(v *serviceCall, assignment tracker.Assignment) (*reply, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		connected.Store(true)
 		v.sent.Store(true)
 	}}
 	ctx := httptrace.WithClientTrace(v.ctx, trace)
-	req, err := s.outbound(ctx, v, handle)
+	req, err := s.newTargetRequest(ctx, v, assignment)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	assertNoKey(req)
+	assertNoCallerKey(req)
 	client := s.HTTP
 	if !v.repeatable() {
 		client = s.NoKeepAliveHTTP
@@ -178,19 +181,19 @@
 		return nil, err
 	}
 	if int64(len(body)) > s.Limits.BodyBytes {
-		return nil, fmt.Errorf("%w: larger than BodyBytes", ErrInvalidAnswer)
+		return nil, fmt.Errorf("%w: body is larger than BodyBytes", ErrInvalidAnswer)
 	}
 	return &reply{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), body: body}, nil
 }
 
-// outbound copies the call for a target, without the caller's key.
-func (s *Relayer) outbound(ctx context.Context, v *serviceCall, handle tracker.Assignment) (*http.Request, error) {
-	target := "http://" + handle.Address + v.r.URL.RequestURI()
-	req, err := http.NewRequestWithContext(ctx, v.r.Method, target, bytes.NewReader(v.body))
+// newTargetRequest returns the request for the target, without the caller's key.
+func (s *Relayer) newTargetRequest(ctx context.Context, v *serviceCall, assignment tracker.Assignment) (*http.Request, error) {
+	url := "http://" + assignment.Address + v.r.URL.RequestURI()
+	req, err := http.NewRequestWithContext(ctx, v.r.Method, url, bytes.NewReader(v.body))
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range []string{"Content-Type", "Accept", "Accept-Language", idempotencyKey} {
+	for _, name := range []string{"Content-Type", "Accept", "Accept-Language", idempotencyKeyHeader} {
 		if values := v.r.Header.Values(name); len(values) > 0 {
 			req.Header[http.CanonicalHeaderKey(name)] = slices.Clone(values)
 		}
@@ -199,11 +202,11 @@
 	return req, nil
 }
 
-// answer accounts the call and hands the target's answer to the caller.
-func (s *Relayer) answer(v *serviceCall, a *reply) {
+// respond accounts the call and writes the target's answer to the caller.
+func (s *Relayer) respond(v *serviceCall, a *reply) {
 	if v.team != "" {
 		s.Ledger.Add(&recorder.TeamUsage{Team: string(v.team), Requests: 1})
-		s.settle(v.ctx)
+		s.syncUsage(v.ctx)
 	}
 	writeReply(v, a)
 	v.logger.Info("Finish", zap.Int("Status", a.status))
