--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -23,11 +23,12 @@
 // at its token offset, even if the caller did not ask for a stream.
 type chat struct {
 	*call
-	request         chatter.Request
-	body            []byte
-	parts           []uint64
-	promptTokens    identifier.Tokens
-	uncachedTokens  identifier.Tokens
+	request        chatter.Request
+	body           []byte
+	parts          []uint64
+	promptTokens   identifier.Tokens
+	uncachedTokens identifier.Tokens
+	// delivered is the number of answer tokens relayed so far.
 	delivered       int64
 	text            strings.Builder
 	usage           *chatter.Usage
@@ -130,7 +131,8 @@
 	}
 }
 
-// retryRefusal returns why a failed request is not retried, or nil if it is.
+// retryRefusal returns the refusal if a failed request may not be retried; otherwise it takes a retry from the budget
+// and returns nil.
 func (s *Relayer) retryRefusal(h *chat, attempt int) *answerer.Refusal {
 	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, Return: shortRetryAfter}
 	switch {
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -47,7 +47,7 @@
 	delete(f.keys, key)
 }
 
-// serveKeyed serves a call with an idempotency key whose target must not run it twice.
+// serveKeyed serves a call that is not repeatable and has an idempotency key.
 func (s *Relayer) serveKeyed(v *serviceCall) {
 	key := string(v.team) + "/" + v.key()
 	digest := requestDigest(v)
