--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -55,7 +55,7 @@
 // admitOwn decides as the relayer does, with shares from the rates that the entries exchanged.
 func admitOwn(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision {
 	rate, share := s.share(e, a.team)
-	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.Late, Promised: promisedWait, TeamRate: rate, TeamShare: share})
+	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.LateShare, Promised: promisedWait, TeamRate: rate, TeamShare: share})
 }
 
 func (s *simulation) share(e *entry, team identifier.TeamID) (rate, share float64) {
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -215,7 +215,7 @@
 	rate, share := s.Share(h.team, identifier.ModelID(h.request.Model))
 	decision := limiter.Admit(limiter.AdmissionInput{
 		Predicted: plan.Predicted,
-		LateShare: plan.Late,
+		LateShare: plan.LateShare,
 		Promised:  time.Duration(h.view.Promise().GetFirstTokenMilliseconds()) * time.Millisecond,
 		TeamRate:  rate,
 		TeamShare: share,
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -17,7 +17,7 @@
 	Prefill   Assignment
 	Split     bool
 	Predicted time.Duration
-	Late      float64
+	LateShare float64
 	Cached    identifier.Tokens
 }
 
@@ -49,14 +49,14 @@
 	case hasPrefill && hasAnswer && (!hasMixed || splitCost < mixedScore.Cost):
 		return Plan{
 			Prefill: g.assign(now, &prefillReq, prefillScore), Answer: g.assign(now, answerReq, answerScore),
-			Split: true, Predicted: prefillScore.Predicted + kvTransferTime + answerScore.Predicted, Late: answerScore.LateShare, Cached: prefillScore.Cached,
+			Split: true, Predicted: prefillScore.Predicted + kvTransferTime + answerScore.Predicted, LateShare: answerScore.LateShare, Cached: prefillScore.Cached,
 		}, true
 	case hasMixed:
-		return Plan{Answer: g.assign(now, &mixedReq, mixedScore), Predicted: mixedScore.Predicted, Late: mixedScore.LateShare, Cached: mixedScore.Cached}, true
+		return Plan{Answer: g.assign(now, &mixedReq, mixedScore), Predicted: mixedScore.Predicted, LateShare: mixedScore.LateShare, Cached: mixedScore.Cached}, true
 	case hasDecode:
 		decodeReq.Prefilled = false
 		decodeScore, _ = choose(now, g, &decodeReq, nil)
-		return Plan{Answer: g.assign(now, &decodeReq, decodeScore), Predicted: decodeScore.Predicted, Late: decodeScore.LateShare, Cached: decodeScore.Cached}, true
+		return Plan{Answer: g.assign(now, &decodeReq, decodeScore), Predicted: decodeScore.Predicted, LateShare: decodeScore.LateShare, Cached: decodeScore.Cached}, true
 	}
 	return Plan{}, false
 }
