--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -15,11 +15,11 @@
 	maximumSendRecords      = 4096
 	maximumParts            = 1 << 16
 	minimumPredictedPrefill = 50 * time.Millisecond
-	maximumSlowdown         = 5.0
+	maximumPrefillSlowdown  = 5.0
 	slowdownSmoothing       = 0.1
 	lateWindowTokens        = 100.0
 	lateDecayTime           = 2 * time.Second
-	toleratedLateFraction   = 0.01
+	toleratedLateShare      = 0.01
 	batchAdjustInterval     = 500 * time.Millisecond
 	batchDecreaseFactor     = 0.9
 	batchIncreaseFraction   = 0.004
@@ -45,12 +45,12 @@
 	ends          []time.Time
 	prefillFreeAt time.Time
 	inFlight      int64
-	// slowdown is the moving average of measured over predicted prefill time; zero means no observation.
-	slowdown float64
+	// prefillSlowdown is the moving average of measured over predicted prefill time; zero means no observation.
+	prefillSlowdown float64
 	// peerSendRatio is the load that all other entry instances are assumed to add, as a multiple of this one's.
-	peerSendRatio float64
-	lateFraction  float64
-	lateUpdatedAt time.Time
+	peerSendRatio      float64
+	lateShare          float64
+	lateShareUpdatedAt time.Time
 	// batchLimit is the estimated number of answers at which tokens are still on time; zero means no observation.
 	batchLimit     float64
 	batchUpdatedAt time.Time
@@ -131,9 +131,9 @@
 		return
 	}
 	tg.role = role
-	tg.slowdown = 0
+	tg.prefillSlowdown = 0
 	tg.batchLimit = 0
-	tg.lateFraction = 0
+	tg.lateShare = 0
 }
 
 // observeFirstToken updates the moving average of the ratio of measured to predicted prefill time. Short
@@ -142,22 +142,22 @@
 	if predicted < minimumPredictedPrefill {
 		return
 	}
-	ratio := min(maximumSlowdown, max(1, float64(measured)/float64(predicted)))
-	if tg.slowdown == 0 {
-		tg.slowdown = 1
+	ratio := min(maximumPrefillSlowdown, max(1, float64(measured)/float64(predicted)))
+	if tg.prefillSlowdown == 0 {
+		tg.prefillSlowdown = 1
 	}
-	tg.slowdown += (ratio - tg.slowdown) * slowdownSmoothing
+	tg.prefillSlowdown += (ratio - tg.prefillSlowdown) * slowdownSmoothing
 }
 
-// observeTokens updates the moving average of the fraction of late tokens.
+// observeTokens updates the moving average of the share of late tokens.
 func (tg *target) observeTokens(now time.Time, late, total int64) {
 	if total == 0 {
 		return
 	}
-	fraction := tg.decayedLateFraction(now)
+	share := tg.decayedLateShare(now)
 	weight := 1 - math.Exp(-float64(total)/lateWindowTokens)
-	tg.lateFraction = fraction + (float64(late)/float64(total)-fraction)*weight
-	tg.lateUpdatedAt = now
+	tg.lateShare = share + (float64(late)/float64(total)-share)*weight
+	tg.lateShareUpdatedAt = now
 	tg.adjustBatchLimit(now)
 }
 
@@ -172,7 +172,7 @@
 	if tg.batchLimit == 0 {
 		tg.batchLimit = slots
 	}
-	if tg.lateFraction > toleratedLateFraction {
+	if tg.lateShare > toleratedLateShare {
 		tg.batchLimit = max(slots*minimumBatchFraction, min(tg.batchLimit, float64(tg.activeRequests()))*batchDecreaseFactor)
 		return
 	}
@@ -187,12 +187,12 @@
 	return max(1, int64(tg.batchLimit))
 }
 
-// decayedLateFraction returns the fraction of late tokens, which decays while no tokens are observed.
-func (tg *target) decayedLateFraction(now time.Time) float64 {
-	if tg.lateUpdatedAt.IsZero() {
+// decayedLateShare returns the share of late tokens, which decays while no tokens are observed.
+func (tg *target) decayedLateShare(now time.Time) float64 {
+	if tg.lateShareUpdatedAt.IsZero() {
 		return 0
 	}
-	return tg.lateFraction * math.Exp(-now.Sub(tg.lateUpdatedAt).Seconds()/lateDecayTime.Seconds())
+	return tg.lateShare * math.Exp(-now.Sub(tg.lateShareUpdatedAt).Seconds()/lateDecayTime.Seconds())
 }
 
 // applyReport replaces the reported load and drops the records of sends and ends that the report already covers.
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -205,8 +205,8 @@
 		c.AddedAt = tg.activeSince
 		c.Running = tg.activeRequests()
 		c.FreeAt = tg.prefillFreeAt
-		c.PrefillSlowdown = tg.slowdown
-		c.LateShare = tg.decayedLateFraction(now)
+		c.PrefillSlowdown = tg.prefillSlowdown
+		c.LateShare = tg.decayedLateShare(now)
 		c.BatchLimit = tg.concurrencyLimit()
 	}
 }
