--- a/internal/gossiper/doc.go
+++ b/internal/gossiper/doc.go
@@ -1,2 +1,3 @@
-// Package gossiper exchanges beats with the other entry instances: who is alive, what each knows and what each does.
+// Package gossiper exchanges gossip messages between entry instances. They carry the liveness and load of each instance
+// and the changes to replicated data.
 package gossiper
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// meshInterval is the time between two beats to a peer in a small fleet.
+	// meshInterval is the time between two messages to a peer in a full mesh.
 	meshInterval = 250 * time.Millisecond
-	// RelayInterval is the same in a large fleet, in which hubs pass statuses on.
+	// RelayInterval is the time between two messages to a peer in a large fleet, where hubs relay statuses.
 	RelayInterval = 500 * time.Millisecond
-	// ExchangeTimeout bounds one exchange, so that a silent connection is found within a second.
+	// ExchangeTimeout limits one exchange, so that a dead connection is detected within a second.
 	ExchangeTimeout = 800 * time.Millisecond
-	// meshAlive and relayAlive are how long a peer counts as alive after its last status was made.
+	// meshAlive and relayAlive are how long a peer counts as alive after it created its last status.
 	meshAlive  = 1500 * time.Millisecond
 	relayAlive = 3 * time.Second
-	// retryPause is the pause after an exchange that failed; gonePause the one for a peer that is long silent.
+	// retryPause is the pause after a failed exchange; gonePause replaces it once a peer's status is older than goneTime.
 	retryPause = 500 * time.Millisecond
 	gonePause  = 3 * time.Second
 	goneTime   = 15 * time.Second
-	// strangerPause is how often it is looked at whether a peer has become a partner.
-	strangerPause = time.Second
-	// wakePause gathers changes that come together.
-	wakePause = 10 * time.Millisecond
+	// partnerCheckInterval is how often a peer that is not a partner is checked for having become one.
+	partnerCheckInterval = time.Second
+	// batchDelay lets changes that occur together go into one message.
+	batchDelay = 10 * time.Millisecond
 )
 
 // Caller exchanges one message with a peer.
@@ -38,32 +38,33 @@
 	Exchange(ctx context.Context, addr string, req, reply proto.Message) error
 }
 
-// Peer is another entry instance as it was last heard, directly or from others.
+// Peer is another entry instance with its newest status, received directly or through a hub.
 type Peer struct {
 	Member  *Member
 	Ready   bool
 	Leaving bool
-	// StatusAt is when its last status was made.
+	// StatusAt is when it created its newest status.
 	StatusAt time.Time
-	// ClockOffset is how much its time of day is ahead of the steady clock here.
+	// ClockOffset is the peer's wall clock time minus this process's monotonic time.
 	ClockOffset time.Duration
 }
 
-// Gossiper exchanges beats with its partners; exported fields must be set before Run.
+// Gossiper exchanges gossip messages with its partners; exported fields must be set before Run.
 //
-// Of two partners the one with the smaller id calls, and both learn from each exchange. The other one calls only while
-// it is not called. Who is whose partner is decided in topology.go.
+// Each exchange carries a message in both directions. The partner with the smaller id makes the call; the other one calls
+// only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
 	Self   *Member
 	Caller Caller
 	Logger *zap.Logger
-	// Status returns what this instance says of itself.
+	// Status returns the current status of this instance.
 	Status func(now time.Time) *Status
-	// AddPayload adds what goes with the statuses to a beat, by what the peer last said it knows; last is nil for a peer that
-	// has not said anything.
+	// AddPayload adds everything except statuses and membership to the message b for a peer. last is the last message received
+	// from that peer, or nil if there is none.
 	AddPayload func(b, last *Beat)
-	// OnStatus takes a status that is newer than the one before, and Learned what came with a beat.
-	OnStatus   func(s *Status, now time.Time)
+	// OnStatus is called for each status that is newer than the previous one of its instance, and OnMessage for each received
+	// message, after its statuses.
+	OnStatus  func(s *Status, now time.Time)
 	OnMessage func(b *Beat, now time.Time)
 
 	mu       sync.Mutex
@@ -78,17 +79,18 @@
 type peer struct {
 	Peer
 	status *Status
-	// last is the newest beat that the peer sent itself, at directAt; failedAt is when an exchange with it last failed.
-	last     *Beat
-	directAt time.Time
-	failedAt time.Time
-	// told are the sequences of other instances' statuses that were sent to the peer.
-	told   map[string]uint64
-	cancel context.CancelFunc
-	wake   chan struct{}
+	// lastMessage is the newest message received from the peer itself, at receivedAt; failedAt is when an exchange with it
+	// last failed.
+	lastMessage *Beat
+	receivedAt  time.Time
+	failedAt    time.Time
+	// relayedSequences holds the newest status sequence of each other incarnation that was sent to the peer.
+	relayedSequences map[string]uint64
+	cancel           context.CancelFunc
+	sendNow          chan struct{}
 }
 
-// Run exchanges beats until ctx ends.
+// Run exchanges messages until ctx ends.
 func (g *Gossiper) Run(ctx context.Context) {
 	g.mu.Lock()
 	g.ctx = ctx
@@ -100,20 +102,20 @@
 	g.group.Wait()
 }
 
-// AddMember adds a peer that others know, or its new incarnation if the one before is no longer alive: what others know may be
-// older.
+// AddMember adds a member that was read from the store or received from a peer. Both sources may be outdated, so a new
+// incarnation replaces the known one only if that one is no longer alive.
 func (g *Gossiper) AddMember(m *Member) {
 	g.mu.Lock()
 	old := g.peers[m.GetID()]
 	alive := old != nil && time.Since(old.StatusAt) <= g.aliveTime()
 	g.mu.Unlock()
 	if !alive {
-		g.adopt(m)
+		g.setMember(m)
 	}
 }
 
-// adopt adds a peer, or takes its new incarnation.
-func (g *Gossiper) adopt(m *Member) {
+// setMember adds a peer, or replaces it if the incarnation differs.
+func (g *Gossiper) setMember(m *Member) {
 	if m.GetID() == "" || m.ID == g.Self.ID || m.PeerAddress == g.Self.PeerAddress {
 		return
 	}
@@ -129,7 +131,7 @@
 	if old != nil && old.cancel != nil {
 		old.cancel()
 	}
-	p := &peer{Peer: Peer{Member: m}, told: map[string]uint64{}, wake: make(chan struct{}, 1)}
+	p := &peer{Peer: Peer{Member: m}, relayedSequences: map[string]uint64{}, sendNow: make(chan struct{}, 1)}
 	g.peers[m.ID] = p
 	g.hubsAt = time.Time{}
 	if g.ctx != nil {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Contact exchanges one beat with an address whose instance is not yet known.
+// Contact exchanges messages once with an address whose instance is not yet known.
 func (g *Gossiper) Contact(ctx context.Context, addr string) error {
 	reply := &Beat{}
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
@@ -145,23 +147,23 @@
 	if err := g.Caller.Exchange(ctx, addr, g.compose(nil), reply); err != nil {
 		return err
 	}
-	g.hear(reply)
+	g.receive(reply)
 	return nil
 }
 
-// Handle takes a peer's beat and returns the one for it.
+// Handle processes a peer's message and returns the reply.
 func (g *Gossiper) Handle(b *Beat) *Beat {
-	p := g.hear(b)
+	p := g.receive(b)
 	return g.compose(p)
 }
 
-// SendNow sends the next beats at once.
+// SendNow sends the next message to each partner without waiting for the interval.
 func (g *Gossiper) SendNow() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.peers {
 		select {
-		case p.wake <- struct{}{}:
+		case p.sendNow <- struct{}{}:
 		default:
 		}
 	}
@@ -171,10 +173,10 @@
 func (g *Gossiper) Alive(now time.Time) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	life := g.aliveTime()
+	maximumAge := g.aliveTime()
 	list := make([]Peer, 0, len(g.peers))
 	for _, p := range g.peers {
-		if now.Sub(p.StatusAt) <= life {
+		if now.Sub(p.StatusAt) <= maximumAge {
 			list = append(list, p.Peer)
 		}
 	}
@@ -182,8 +184,8 @@
 	return list
 }
 
-// hear takes a beat and returns the peer that sent it, or nil.
-func (g *Gossiper) hear(b *Beat) *peer {
+// receive processes a message and returns the peer that sent it, or nil if the message names no sender.
+func (g *Gossiper) receive(b *Beat) *peer {
 	if len(b.Statuses) == 0 || b.Statuses[0].GetMember().GetID() == "" {
 		return nil
 	}
@@ -192,7 +194,7 @@
 		g.AddMember(m)
 	}
 	for _, s := range b.Statuses {
-		if g.update(s, now) {
+		if g.updateStatus(s, now) {
 			g.OnStatus(s, now)
 		}
 	}
@@ -201,39 +203,39 @@
 	defer g.mu.Unlock()
 	p := g.peers[b.Statuses[0].Member.ID]
 	if p != nil {
-		p.last, p.directAt, p.failedAt = b, now, time.Time{}
+		p.lastMessage, p.receivedAt, p.failedAt = b, now, time.Time{}
 	}
 	return p
 }
 
-// update takes a status if it is newer than what is known.
-func (g *Gossiper) update(s *Status, now time.Time) bool {
+// updateStatus stores a status and returns true if it is newer than the known one.
+func (g *Gossiper) updateStatus(s *Status, now time.Time) bool {
 	m := s.GetMember()
 	if m.GetID() == "" || m.ID == g.Self.ID {
 		return false
 	}
-	made := now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond)
+	createdAt := now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond)
 	g.mu.Lock()
 	p := g.peers[m.ID]
-	// An old status of an incarnation that was replaced must not bring it back.
-	stale := p != nil && p.Member.Incarnation != m.Incarnation && made.Before(p.StatusAt)
+	// A delayed status of a replaced incarnation must not make it current again.
+	stale := p != nil && p.Member.Incarnation != m.Incarnation && createdAt.Before(p.StatusAt)
 	g.mu.Unlock()
 	if stale {
 		return false
 	}
-	g.adopt(m)
+	g.setMember(m)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p = g.peers[m.ID]
 	if p == nil || p.Member.Incarnation != m.Incarnation || p.status != nil && s.Sequence <= p.status.Sequence {
 		return false
 	}
-	p.status, p.Ready, p.Leaving, p.StatusAt = s, s.Ready, s.Leaving, made
-	p.ClockOffset = time.Duration(s.UnixMilliseconds)*time.Millisecond - Monotonic(made)
+	p.status, p.Ready, p.Leaving, p.StatusAt = s, s.Ready, s.Leaving, createdAt
+	p.ClockOffset = time.Duration(s.UnixMilliseconds)*time.Millisecond - Monotonic(createdAt)
 	return true
 }
 
-// compose makes the beat for a peer; nil stands for one that has not been heard yet.
+// compose builds the message for a peer; p is nil if the peer is not known yet.
 func (g *Gossiper) compose(p *peer) *Beat {
 	now := time.Now()
 	own := g.Status(now)
@@ -242,47 +244,47 @@
 	g.mu.Lock()
 	g.sequence++
 	own.Sequence = g.sequence
-	var last *Beat
+	var lastMessage *Beat
 	if p != nil {
-		last = p.last
-		b.Statuses = append(b.Statuses, g.relayed(p, now)...)
+		lastMessage = p.lastMessage
+		b.Statuses = append(b.Statuses, g.statusesToRelay(p, now)...)
 	}
 	b.Known = uint32(len(g.peers) + 1)
-	// A peer that has not said what it knows most likely knows it: all read the store when they start.
-	if last != nil && last.Known < b.Known {
+	// A peer that has not sent a message yet most likely has the member list: every instance reads it from the store at start.
+	if lastMessage != nil && lastMessage.Known < b.Known {
 		for _, other := range g.peers {
 			b.Members = append(b.Members, other.Member)
 		}
 	}
 	g.mu.Unlock()
-	g.AddPayload(b, last)
+	g.AddPayload(b, lastMessage)
 	return b
 }
 
-// monotonicOrigin is the origin of this process's steady clock.
+// monotonicOrigin is the origin of this process's monotonic clock.
 var monotonicOrigin = time.Now()
 
-// Monotonic returns the time since the process's steady clock began.
+// Monotonic returns the monotonic time since the start of the process.
 func Monotonic(now time.Time) time.Duration { return now.Sub(monotonicOrigin) }
 
-// launch starts the exchanges with a peer; the caller holds the lock.
+// launch starts the exchanges with a peer. The caller must hold mu.
 func (g *Gossiper) launch(p *peer) {
 	ctx, cancel := context.WithCancel(g.ctx)
 	p.cancel = cancel
 	g.group.Go(func() {
 		defer cancel()
-		g.exchange(ctx, p)
+		g.exchangeLoop(ctx, p)
 	})
 }
 
-func (g *Gossiper) exchange(ctx context.Context, p *peer) {
+func (g *Gossiper) exchangeLoop(ctx context.Context, p *peer) {
 	lost := false
 	for ctx.Err() == nil {
-		turn, pause := g.turn(p, time.Now())
-		if turn {
-			err := g.once(ctx, p)
+		callDue, pause := g.callDue(p, time.Now())
+		if callDue {
+			err := g.exchangeOnce(ctx, p)
 			if err != nil {
-				pause = g.failed(p, time.Now())
+				pause = g.recordFailure(p, time.Now())
 			}
 			if (err != nil) != lost && ctx.Err() == nil {
 				lost = err != nil
@@ -291,8 +293,8 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-p.wake:
-			if sleeper.Sleep(ctx, wakePause) != nil {
+		case <-p.sendNow:
+			if sleeper.Sleep(ctx, batchDelay) != nil {
 				return
 			}
 		case <-time.After(pause):
@@ -300,8 +302,8 @@
 	}
 }
 
-// failed notes a failed exchange and returns the pause before the next one.
-func (g *Gossiper) failed(p *peer, now time.Time) time.Duration {
+// recordFailure records a failed exchange and returns the pause before the next one.
+func (g *Gossiper) recordFailure(p *peer, now time.Time) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p.failedAt = now
@@ -312,13 +314,13 @@
 	return retryPause
 }
 
-func (g *Gossiper) once(ctx context.Context, p *peer) error {
+func (g *Gossiper) exchangeOnce(ctx context.Context, p *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
 	reply := &Beat{}
 	if err := g.Caller.Exchange(ctx, p.Member.PeerAddress, g.compose(p), reply); err != nil {
 		return err
 	}
-	g.hear(reply)
+	g.receive(reply)
 	return nil
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -16,43 +16,43 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/gossiper"
 )
 
-var errCut = errors.New("no way")
+var errUnreachable = errors.New("address unreachable")
 
 // fleet is a network of gossipers in one process.
 type fleet struct {
 	mu        sync.Mutex
 	nodes     map[string]*node
 	exchanges int
-	// capacity is that of an instance by its number; nil: all alike.
+	// capacity returns the capacity of an instance by its number; nil gives all instances the same capacity.
 	capacity func(i int) uint32
 }
 
 type node struct {
 	*gossiper.Gossiper
-	// took counts the exchanges in which the instance took part.
-	took   int
-	fleet  *fleet
-	cancel context.CancelFunc
-	done   chan struct{}
+	// exchangeCount is the number of exchanges in which the instance took part.
+	exchangeCount int
+	fleet         *fleet
+	cancel        context.CancelFunc
+	done          chan struct{}
 }
 
 func (n *node) Exchange(_ context.Context, addr string, req, reply proto.Message) error {
 	n.fleet.mu.Lock()
 	to := n.fleet.nodes[addr]
 	n.fleet.exchanges++
-	if n.took++; to != nil {
-		to.took++
+	if n.exchangeCount++; to != nil {
+		to.exchangeCount++
 	}
 	n.fleet.mu.Unlock()
 	if to == nil {
-		return errCut
+		return errUnreachable
 	}
 	time.Sleep(time.Millisecond)
 	proto.Merge(reply, to.Handle(proto.Clone(req).(*gossiper.Beat)))
 	return nil
 }
 
-// start adds an instance that knows one other.
+// start adds an instance that contacts entry-00 until it sees a live peer.
 func (f *fleet) start(i, zones int, incarnation string) {
 	id := fmt.Sprintf("entry-%02d", i)
 	self := &gossiper.Member{ID: id, Incarnation: incarnation, Zone: fmt.Sprint("zone-", i%zones), PeerAddress: id, Capacity: 400}
@@ -93,13 +93,13 @@
 	<-n.done
 }
 
-// unaware returns an instance that does not see so many live peers, or none.
-func (f *fleet) unaware(want int) string {
+// wrongView describes an instance that does not see exactly want live peers, or returns "" if there is none.
+func (f *fleet) wrongView(want int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, n := range f.nodes {
 		if got := len(n.Alive(time.Now())); got != want {
-			return fmt.Sprintf("%s sees %d of %d", id, got, want)
+			return fmt.Sprintf("%s sees %d live peers, want %d", id, got, want)
 		}
 	}
 	return ""
@@ -123,17 +123,17 @@
 	})
 }
 
-func TestAllSeeAll(t *testing.T) {
+func TestAllInstancesSeeEachOther(t *testing.T) {
 	for _, size := range []int{2, 8, 30, 63} {
 		run(t, size, func(fl *fleet) {
-			quicktest.Check(t, fl.unaware(size-1), quicktest.Equals, "", quicktest.Commentf("%d instances", size))
+			quicktest.Check(t, fl.wrongView(size-1), quicktest.Equals, "", quicktest.Commentf("%d instances", size))
 		})
 	}
 }
 
-// TestBeatsDoNotGrowWithTheSquare bounds the exchanges of an instance in a second: two hubs a zone, twice a second, and
-// an allowance for those that become partners.
-func TestBeatsDoNotGrowWithTheSquare(t *testing.T) {
+// TestExchangesDoNotGrowQuadratically limits the exchanges per instance and second: two hubs per zone, two exchanges per
+// second, and an allowance for new partners.
+func TestExchangesDoNotGrowQuadratically(t *testing.T) {
 	run(t, 63, func(fl *fleet) {
 		fl.mu.Lock()
 		fl.exchanges = 0
@@ -142,25 +142,26 @@
 		fl.mu.Lock()
 		perSecond := float64(fl.exchanges) / 10 / 63
 		fl.mu.Unlock()
-		quicktest.Check(t, perSecond < 6, quicktest.IsTrue, quicktest.Commentf("%.1f exchanges of an instance in a second", perSecond))
+		quicktest.Check(t, perSecond < 6, quicktest.IsTrue, quicktest.Commentf("%.1f exchanges per instance and second", perSecond))
 	})
 }
 
-// TestLostHubs kills both hubs of a zone: the dead are forgotten within seconds, and the living see each other again.
+// TestLostHubs stops both hubs of a zone: within seconds the others drop them from the live peers and see each other again.
 func TestLostHubs(t *testing.T) {
 	run(t, 30, func(fl *fleet) {
 		fl.stop("entry-01")
 		fl.stop("entry-04")
 		time.Sleep(8 * time.Second)
-		quicktest.Check(t, fl.unaware(27), quicktest.Equals, "")
+		quicktest.Check(t, fl.wrongView(27), quicktest.Equals, "")
 		fl.start(1, 3, "second")
 		time.Sleep(4 * time.Second)
-		quicktest.Check(t, fl.unaware(28), quicktest.Equals, "")
+		quicktest.Check(t, fl.wrongView(28), quicktest.Equals, "")
 	})
 }
 
-// TestOldNewsBringNoIncarnationBack restarts an instance while others, and the store, still name the one before.
-func TestOldNewsBringNoIncarnationBack(t *testing.T) {
+// TestOutdatedMemberDoesNotReplaceLiveIncarnation restarts an instance while an outdated record of its previous incarnation
+// keeps arriving, as it does from the store and from peers.
+func TestOutdatedMemberDoesNotReplaceLiveIncarnation(t *testing.T) {
 	run(t, 8, func(fl *fleet) {
 		fl.stop("entry-03")
 		fl.start(3, 3, "second")
@@ -170,24 +171,24 @@
 		fl.mu.Unlock()
 		for range 20 {
 			n.AddMember(&gossiper.Member{ID: "entry-03", Incarnation: "first", Zone: "zone-0", PeerAddress: "entry-03", Capacity: 400})
-			quicktest.Assert(t, fl.unaware(7), quicktest.Equals, "")
+			quicktest.Assert(t, fl.wrongView(7), quicktest.Equals, "")
 			time.Sleep(50 * time.Millisecond)
 		}
 	})
 }
 
-// TestWeakInstancesAreNoHubs answers a rolling restart on machines of two sizes: when the strong ones of a zone are gone, no
-// weak one passes on the beats of its zone over a slow link.
+// TestWeakInstancesAreNoHubs guards against a fault of rolling restarts on machines of two sizes: when all strong instances
+// of a zone were down, a weak one became hub and relayed the messages of its zone over a slow link.
 func TestWeakInstancesAreNoHubs(t *testing.T) {
 	strong := func(i int) uint32 { return map[bool]uint32{true: 800, false: 100}[i < 6] }
 	runFleet(t, 45, strong, func(fl *fleet) {
 		fl.stop("entry-01")
 		fl.stop("entry-04")
 		time.Sleep(8 * time.Second)
-		quicktest.Check(t, fl.unaware(42), quicktest.Equals, "")
+		quicktest.Check(t, fl.wrongView(42), quicktest.Equals, "")
 		fl.mu.Lock()
 		for _, n := range fl.nodes {
-			n.took = 0
+			n.exchangeCount = 0
 		}
 		fl.mu.Unlock()
 		time.Sleep(10 * time.Second)
@@ -195,16 +196,16 @@
 		defer fl.mu.Unlock()
 		for id, n := range fl.nodes {
 			if n.Self.Capacity == 100 {
-				quicktest.Check(t, n.took < 10*6, quicktest.IsTrue, quicktest.Commentf("%s: %d exchanges in 10 s", id, n.took))
+				quicktest.Check(t, n.exchangeCount < 10*6, quicktest.IsTrue, quicktest.Commentf("%s: %d exchanges in 10 s", id, n.exchangeCount))
 			}
 		}
 	})
 }
 
-func TestDeadAreForgottenSoon(t *testing.T) {
+func TestStoppedInstanceIsDropped(t *testing.T) {
 	run(t, 8, func(fl *fleet) {
 		fl.stop("entry-03")
 		time.Sleep(2 * time.Second)
-		quicktest.Check(t, fl.unaware(6), quicktest.Equals, "")
+		quicktest.Check(t, fl.wrongView(6), quicktest.Equals, "")
 	})
 }
--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -9,61 +9,61 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// In a small fleet all instances are each other's partners. In a large one the strongest live instances of each
-// availability zone are hubs: an instance's partners are the hubs of its zone, and hubs are partners of each other. An
-// instance far weaker than the strongest is no hub: its link would be choked by beats. Where a zone has none, its
-// instances turn to two hubs of other zones, by a hash of their ids. Hubs pass on the statuses of others, each to each
-// partner once. So the beats of an instance do not grow with the fleet, those of a hub grow with its zone, and few of
-// them cross zones. Everyone computes the hubs from what it knows; where two disagree for a while, an instance has a
-// partner more or less.
+// A small fleet is a full mesh: all instances are partners of each other. In a large fleet the live instances with the
+// highest capacity in each availability zone are hubs: the partners of an instance are the hubs of its zone, and all hubs
+// are partners of each other. An instance with far less capacity than the strongest one is never a hub, because gossip
+// messages would saturate its link. The instances of a zone without a hub use two hubs of other zones, selected by a hash
+// of the ids. Hubs relay the statuses of other instances, each status once to each partner. The message rate of an
+// instance therefore does not grow with the fleet, that of a hub grows with its zone, and few messages cross zones. Each
+// instance computes the hubs from its own view; while views differ, an instance may have a partner more or less.
 
 const (
-	// meshSize is the largest fleet in which all instances are partners.
+	// meshSize is the largest fleet that uses a full mesh.
 	meshSize = 12
-	// hubsPerZone is how many hubs a zone has, so that the loss of one is not felt.
+	// hubsPerZone is the number of hubs in a zone; a second one keeps the zone connected when one is lost.
 	hubsPerZone = 2
-	// hubStrength is the part of the strongest instance's capacity that a hub has at least.
-	hubStrength = 0.5
-	// hubsLife is how long the computed hubs stand.
-	hubsLife = 200 * time.Millisecond
-	// suspectTime is how long an instance that could not be reached is not a hub here.
+	// hubCapacityFraction is the least capacity of a hub, as a fraction of the strongest instance's capacity.
+	hubCapacityFraction = 0.5
+	// hubsCacheTime is how long the computed set of hubs is reused.
+	hubsCacheTime = 200 * time.Millisecond
+	// suspectTime is how long this instance excludes another one from the hubs after a failed exchange with it.
 	suspectTime = 5 * time.Second
 )
 
-// UsesHubs tells that the fleet is too large for a mesh.
+// UsesHubs reports whether the fleet is too large for a full mesh.
 func (g *Gossiper) UsesHubs() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.large()
+	return g.usesHubs()
 }
 
-func (g *Gossiper) large() bool { return len(g.peers)+1 > meshSize }
+func (g *Gossiper) usesHubs() bool { return len(g.peers)+1 > meshSize }
 
 func (g *Gossiper) aliveTime() time.Duration {
-	if g.large() {
+	if g.usesHubs() {
 		return relayAlive
 	}
 	return meshAlive
 }
 
-// turn tells whether to call a peer now, and when to look again: a partner is called by the one with the smaller id, or
-// by the other one if that does not come.
-func (g *Gossiper) turn(p *peer, now time.Time) (bool, time.Duration) {
+// callDue reports whether this instance calls a peer now, and the pause before the next check. Of two partners the one with
+// the smaller id calls; the other one calls if it has received no message for three intervals.
+func (g *Gossiper) callDue(p *peer, now time.Time) (bool, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	interval := meshInterval
-	if g.large() {
+	if g.usesHubs() {
 		interval = RelayInterval
 	}
-	if !g.partners(p, now) {
-		return false, strangerPause
+	if !g.isPartner(p, now) {
+		return false, partnerCheckInterval
 	}
-	return g.Self.ID < p.Member.ID || now.Sub(p.directAt) > 3*interval, interval
+	return g.Self.ID < p.Member.ID || now.Sub(p.receivedAt) > 3*interval, interval
 }
 
-// partners tells whether beats go to a peer; the caller holds the lock.
-func (g *Gossiper) partners(p *peer, now time.Time) bool {
-	if !g.large() {
+// isPartner reports whether this instance exchanges messages with a peer. The caller must hold mu.
+func (g *Gossiper) isPartner(p *peer, now time.Time) bool {
+	if !g.usesHubs() {
 		return true
 	}
 	hubs := g.currentHubs(now)
@@ -78,7 +78,8 @@
 	return false
 }
 
-// hubsOf returns the hubs of an instance: those of its zone, or some of other zones; the caller holds the lock.
+// hubsOf returns the hubs of an instance: those of its zone, or some of other zones if its zone has none. The caller must
+// hold mu.
 func (g *Gossiper) hubsOf(id, zone string) []string {
 	var own, all []string
 	for hub := range g.hubs {
@@ -103,9 +104,9 @@
 	return g.Self.Zone
 }
 
-// currentHubs are the ids of the hubs of all zones.
+// currentHubs returns the ids of the hubs of all zones. The caller must hold mu.
 func (g *Gossiper) currentHubs(now time.Time) map[string]bool {
-	if g.hubs != nil && now.Sub(g.hubsAt) < hubsLife {
+	if g.hubs != nil && now.Sub(g.hubsAt) < hubsCacheTime {
 		return g.hubs
 	}
 	byZone := map[string][]string{g.Self.Zone: {g.Self.ID}}
@@ -124,7 +125,7 @@
 	}
 	g.hubs, g.hubsAt = map[string]bool{}, now
 	for _, ids := range byZone {
-		ids = slices.DeleteFunc(ids, func(id string) bool { return float64(g.capacity(id)) < hubStrength*float64(strongest) })
+		ids = slices.DeleteFunc(ids, func(id string) bool { return float64(g.capacity(id)) < hubCapacityFraction*float64(strongest) })
 		slices.SortFunc(ids, func(a, b string) int { return g.compare(a, b) })
 		for _, id := range ids[:min(len(ids), hubsPerZone)] {
 			g.hubs[id] = true
@@ -133,7 +134,7 @@
 	return g.hubs
 }
 
-// compare orders instances: the stronger first, then by id; the caller holds the lock.
+// compare orders instances by descending capacity, then by id. The caller must hold mu.
 func (g *Gossiper) compare(a, b string) int {
 	return cmp.Or(cmp.Compare(g.capacity(b), g.capacity(a)), cmp.Compare(a, b))
 }
@@ -145,9 +146,10 @@
 	return g.Self.Capacity
 }
 
-// relayed returns the statuses of others that a partner may lack; the caller holds the lock.
-func (g *Gossiper) relayed(p *peer, now time.Time) []*Status {
-	if !g.large() || !g.currentHubs(now)[g.Self.ID] {
+// statusesToRelay returns the statuses of other instances that were not sent to a partner yet; only hubs relay. The caller
+// must hold mu.
+func (g *Gossiper) statusesToRelay(p *peer, now time.Time) []*Status {
+	if !g.usesHubs() || !g.currentHubs(now)[g.Self.ID] {
 		return nil
 	}
 	var list []*Status
@@ -156,10 +158,10 @@
 			continue
 		}
 		key := id + "/" + other.Member.Incarnation
-		if p.told[key] >= other.status.Sequence {
+		if p.relayedSequences[key] >= other.status.Sequence {
 			continue
 		}
-		p.told[key] = other.status.Sequence
+		p.relayedSequences[key] = other.status.Sequence
 		s := proto.Clone(other.status).(*Status)
 		s.AgeMilliseconds = now.Sub(other.StatusAt).Milliseconds()
 		list = append(list, s)
