--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -19,7 +19,7 @@
 	return map[string]*mirrorer.Mirror{streamConfiguration: &c.config, streamTargets: &c.targets, streamMembers: &c.members}
 }
 
-// status is what this instance says of itself.
+// status returns the current status of this instance.
 func (c *Coordinator) status(now time.Time) *gossiper.Status {
 	s := &gossiper.Status{Ready: c.Ready(), Leaving: c.leaving.Load(), UnixMilliseconds: now.UnixMilli()}
 	for id, load := range c.book.OwnLoads() {
@@ -34,9 +34,10 @@
 	return s
 }
 
-// complete adds to a beat what the peer lacks by its last one. Without one the beat only tells what there is: the peer
-// answers with what it lacks, and after a restart of all nobody lacks anything.
-func (c *Coordinator) complete(b, last *gossiper.Beat) {
+// addPayload adds open orders, the lease, and the changes that the peer lacks according to its last message. Without a
+// last message it adds the offsets of streams but no records: the peer's reply shows what it lacks, and after a restart
+// of the whole fleet no instance lacks anything.
+func (c *Coordinator) addPayload(b, last *gossiper.Beat) {
 	now := time.Now()
 	known := map[string]uint64{}
 	for _, s := range last.GetStreams() {
@@ -47,7 +48,7 @@
 		if last == nil {
 			from = m.Next()
 		}
-		b.Streams = append(b.Streams, describe(name, m, from, now))
+		b.Streams = append(b.Streams, newStream(name, m, from, now))
 	}
 	for _, o := range c.registry.PendingOrders(now) {
 		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Remaining).Milliseconds()})
@@ -56,45 +57,46 @@
 		b.Lease = &gossiper.Lease{Holder: s.Holder, Fence: uint64(s.Fence), Offset: uint64(s.Next), AgeMilliseconds: s.Age.Milliseconds()}
 	}
 	if last != nil {
-		c.addNews(b, last.Statuses[0].Member)
+		c.addChanges(b, last.Statuses[0].Member)
 	}
 }
 
-// cursor is how far a peer has been told of something. What the last two beats told is told again, because a beat may
-// be lost.
-type cursor struct{ before, last uint64 }
+// cursor holds the positions in a sequence of changes that the last two messages to a peer reached. Sending from
+// previous puts each change into two messages, because a message may be lost.
+type cursor struct{ previous, last uint64 }
 
-func (c *cursor) advance(next uint64) { c.before, c.last = c.last, next }
+func (c *cursor) advance(next uint64) { c.previous, c.last = c.last, next }
 
-// told is how far one incarnation of a peer has been told of prompt parts and counts.
-type told struct {
+// sendProgress holds the positions up to which prompt parts and counts were sent to one incarnation of a peer.
+type sendProgress struct {
 	incarnation   string
 	parts, counts cursor
 }
 
-// addNews adds the prompt parts that were read and the counts that changed since the beat before the last one.
-func (c *Coordinator) addNews(b *gossiper.Beat, peer *gossiper.Member) {
+// addChanges adds the prompt parts that were prefilled since the last message, and the counts that changed since the
+// message before it.
+func (c *Coordinator) addChanges(b *gossiper.Beat, peer *gossiper.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.told[peer.ID]
-	if t == nil || t.incarnation != peer.Incarnation {
-		t = &told{incarnation: peer.Incarnation}
-		c.told[peer.ID] = t
-	}
-	// A part that is not told costs a prompt that is read twice at worst, so it is told once.
-	sent, next := c.book.PartsSince(t.parts.last)
-	t.parts.advance(next)
+	p := c.sendProgress[peer.ID]
+	if p == nil || p.incarnation != peer.Incarnation {
+		p = &sendProgress{incarnation: peer.Incarnation}
+		c.sendProgress[peer.ID] = p
+	}
+	// Parts are sent once: a lost one costs at most a repeated prefill.
+	sent, next := c.book.PartsSince(p.parts.last)
+	p.parts.advance(next)
 	for _, s := range sent {
 		b.Parts = append(b.Parts, &gossiper.Part{Target: string(s.Target), Part: uint64(s.Part.ID), Tokens: uint32(s.Part.Tokens)})
 	}
-	cells, next := c.counts.ChangedSince(t.counts.before)
-	t.counts.advance(next)
+	cells, next := c.counts.ChangedSince(p.counts.previous)
+	p.counts.advance(next)
 	for _, cell := range cells {
 		b.Counts = append(b.Counts, &gossiper.Count{Incarnation: cell.Incarnation, Window: cell.Window, Team: string(cell.Team), Requests: cell.Requests})
 	}
 }
 
-// announceOrders notes this instance's own orders and tells the peers.
+// announceOrders registers this instance's pending orders and sends them to the peers.
 func (c *Coordinator) announceOrders() {
 	for _, p := range c.keeper.PendingOrders() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
@@ -102,7 +104,8 @@
 	c.peers.SendNow()
 }
 
-func describe(name string, m *mirrorer.Mirror, from identifier.Offset, now time.Time) *gossiper.Stream {
+// newStream returns the records of a mirror from an offset on, with its position and age.
+func newStream(name string, m *mirrorer.Mirror, from identifier.Offset, now time.Time) *gossiper.Stream {
 	s := &gossiper.Stream{Name: name, From: uint64(from), Next: uint64(m.Next()), AgeMilliseconds: -1}
 	if age, known := m.Age(now); known {
 		s.AgeMilliseconds = age.Milliseconds()
@@ -113,8 +116,8 @@
 	return s
 }
 
-// heard takes what another instance says of itself.
-func (c *Coordinator) heard(s *gossiper.Status, now time.Time) {
+// onStatus applies the loads and demand rates of another instance's status.
+func (c *Coordinator) onStatus(s *gossiper.Status, now time.Time) {
 	loads := map[identifier.TargetID]chooser.Load{}
 	for _, l := range s.Loads {
 		loads[identifier.TargetID(l.Target)] = chooser.Load{
@@ -127,12 +130,12 @@
 	}
 }
 
-// learned takes what came with a peer's beat.
-func (c *Coordinator) learned(b *gossiper.Beat, now time.Time) {
+// onMessage applies the payload of a peer's message.
+func (c *Coordinator) onMessage(b *gossiper.Beat, now time.Time) {
 	mirrors := c.mirrors()
 	for _, s := range b.Streams {
 		if m := mirrors[s.Name]; m != nil {
-			learnStream(m, s, now)
+			applyStream(m, s, now)
 		}
 	}
 	for _, p := range b.Parts {
@@ -154,9 +157,10 @@
 	}
 }
 
-func learnStream(m *mirrorer.Mirror, s *gossiper.Stream, now time.Time) {
+// applyStream applies the records and the age of a stream that a peer sent.
+func applyStream(m *mirrorer.Mirror, s *gossiper.Stream, now time.Time) {
 	if identifier.Offset(s.From) > m.Next() {
-		return // There is a gap; the peer fills it when it has heard how far this instance knows the stream.
+		return // Records are missing; the peer sends them once it has received this instance's offset.
 	}
 	records := make([]mirrorer.Record, 0, len(s.Records))
 	for _, r := range s.Records {
@@ -169,7 +173,7 @@
 	m.Apply(records, identifier.Offset(s.Next), asOf)
 }
 
-// rank is the position of this instance among those that are alive and ready.
+// rank returns the number of live and ready instances that come before this one by capacity, then id.
 func (c *Coordinator) rank() int {
 	n := 0
 	for _, p := range c.peers.Alive(time.Now()) {
@@ -181,18 +185,19 @@
 	return n
 }
 
-// eligible lets the first instance claim at once, and the others only if it does not.
+// eligible reports whether this instance may claim a lease that lapsed the given time ago. Instances with higher ranks
+// wait longer, so that they claim only if those before them do not.
 func (c *Coordinator) eligible(since time.Duration) bool {
 	return !c.leaving.Load() && c.table.Load() != nil && since >= time.Duration(c.rank())*claimDelay
 }
 
-// trueTime is the median of the times of day of all instances, so that a few that jump do not matter.
-func (c *Coordinator) trueTime() time.Time {
+// medianTime returns the median wall clock time of all instances, so that a few wrong clocks have no effect.
+func (c *Coordinator) medianTime() time.Time {
 	now := time.Now()
-	ahead := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Monotonic(now)}
+	clockOffsets := []time.Duration{time.Duration(now.UnixNano()) - gossiper.Monotonic(now)}
 	for _, p := range c.peers.Alive(now) {
-		ahead = append(ahead, p.ClockOffset)
+		clockOffsets = append(clockOffsets, p.ClockOffset)
 	}
-	slices.Sort(ahead)
-	return time.Unix(0, int64(ahead[len(ahead)/2]+gossiper.Monotonic(now)))
+	slices.Sort(clockOffsets)
+	return time.Unix(0, int64(clockOffsets[len(clockOffsets)/2]+gossiper.Monotonic(now)))
 }
--- a/internal/coordinator/constants.go
+++ b/internal/coordinator/constants.go
@@ -3,58 +3,63 @@
 import "time"
 
 const (
-	// The defaults hold before the first configuration, and where it names no limit; they are those of the users' sites.
+	// Defaults before the first configuration and for limits that it does not set; the users' sites use the same
+	// values.
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
-	// readerAge is how old the first reader lets its copies of configuration and targets grow before it reads the store;
-	// the others wait for its beats, and read by themselves if these do not come.
-	readerAge = 300 * time.Millisecond
-	rankDelay = 500 * time.Millisecond
-	mostDelay = 600 * time.Millisecond
-	// mostDelayLarge is the most in a fleet in which beats are passed on by hubs, for all but the first hubReaders, which are
-	// the hubs of five zones: others that the store turns away hear from them in two steps.
-	mostDelayLarge = 1200 * time.Millisecond
-	hubReaders     = 10
-	// spreadSmall and spreadLarge are how far predictions may be off in a mesh and with hubs.
-	spreadSmall = 10 * time.Millisecond
-	spreadLarge = 80 * time.Millisecond
-	// shortestOutage is the least time without news in which entries of live targets may lapse: they lapse after three
+	// readerCopyAge is the age at which the instance of rank 0 refreshes its copies of configuration and targets from
+	// the store. The other instances receive them from peers; if they do not, they read the store after a further
+	// rankDelay per rank, at most maximumDelay.
+	readerCopyAge = 300 * time.Millisecond
+	rankDelay     = 500 * time.Millisecond
+	maximumDelay  = 600 * time.Millisecond
+	// maximumDelayWithHubs replaces maximumDelay in a fleet with hubs, except for the first hubReaders ranks, which are
+	// the hubs of five zones: an instance that the store refuses receives the records from them in two hops.
+	maximumDelayWithHubs = 1200 * time.Millisecond
+	hubReaders           = 10
+	// meshJitter and hubJitter are the likely errors of predictions in a full mesh and with hubs; choices of targets
+	// are randomized by as much.
+	meshJitter = 10 * time.Millisecond
+	hubJitter  = 80 * time.Millisecond
+	// outageThreshold is the shortest store outage in which entries of live targets may expire: they expire after three
 	// heartbeats of about a second.
-	shortestOutage = 2 * time.Second
-	// gatherTime is how long after its start an instance looks for members at every gatherAge.
-	gatherTime = 6 * time.Second
-	gatherAge  = 700 * time.Millisecond
-	// memberAge is the same for the list of members, which rarely changes.
-	memberAge = 5 * time.Second
-	// claimDelay is how much later each further instance claims duties that nobody holds.
+	outageThreshold = 2 * time.Second
+	// discoveryTime is the time after the start in which an instance refreshes its copy of the members at
+	// discoveryCopyAge.
+	discoveryTime    = 6 * time.Second
+	discoveryCopyAge = 700 * time.Millisecond
+	// memberCopyAge is the age at which the copy of the members, which rarely changes, is refreshed later.
+	memberCopyAge = 5 * time.Second
+	// claimDelay is the additional delay per rank before an instance claims duties that have no holder.
 	claimDelay = 700 * time.Millisecond
-	// registerRetry is the pause between tries to register as a member.
-	registerRetry = 500 * time.Millisecond
-	// callTimeout bounds one call to the store.
+	// joinRetryPause is the pause between attempts to register as a member or to contact the seeds.
+	joinRetryPause = 500 * time.Millisecond
+	// callTimeout limits one call to the store.
 	callTimeout = time.Second
-	// tidyPause is how often what is gone is forgotten.
-	tidyPause = time.Second
-	// settingsPause is how often the settings file is looked at.
-	settingsPause = time.Second
-	// leaveTime is how long a leaving instance goes on taking requests: clients keep its address for a while.
+	// cleanupInterval is the time between removals of outdated state.
+	cleanupInterval = time.Second
+	// settingsInterval is the time between checks of the settings file for changes.
+	settingsInterval = time.Second
+	// leaveTime is how long a leaving instance still accepts requests, because clients keep its address for a while.
 	leaveTime = 2500 * time.Millisecond
-	// stopMargin is what is left of the grace for the end of the process.
+	// stopMargin is the part of the grace period that is reserved for the exit of the process.
 	stopMargin = 700 * time.Millisecond
-	// memoryPart is the part of the memory limit at which the runtime collects harder.
-	memoryPart = 0.7
-	// bodyPart is the part of the memory limit, one of so many, that clients' bodies may take.
-	bodyPart = 8
-	// reservedDescriptors are not for connections of clients.
+	// memoryLimitFraction is the fraction of the instance's memory that becomes the soft memory limit of the runtime.
+	memoryLimitFraction = 0.7
+	// bodyMemoryDivisor is the memory of the instance divided by the memory that request bodies may use.
+	bodyMemoryDivisor = 8
+	// reservedDescriptors is the number of file descriptors that client connections may not use.
 	reservedDescriptors = 600
-	// incarnationDigits is how much of a random id tells the incarnations of an instance apart; beats carry many of them.
+	// incarnationDigits is the length of the random id of an incarnation; it is short because gossip messages carry
+	// many.
 	incarnationDigits = 8
-	// AddressLifetime is how long clients may keep an answer of the directory, at most as long as the site counts.
+	// AddressLifetime is how long clients may cache a response of the directory; a site may set a shorter time.
 	AddressLifetime = 1500 * time.Millisecond
 )
 
-// Names of the mirrored streams in beats.
+// Names of the mirrored streams in gossip messages.
 const (
 	streamConfiguration = "Configuration"
 	streamTargets       = "Targets"
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -39,19 +39,19 @@
 //
 //	store --newest, read--> followers --> mirrors (configuration, targets, members) --> table, registrar, gossiper
 //	                                        ^   |
-//	peers <--------beats (gossiper)---------+---+   loads, cached parts --> book;  counts --> counter;  lease --> elector
+//	peers <-----messages (gossiper)---------+---+   loads, cached parts --> book;  counts --> counter;  lease --> elector
 //
 //	clients --> ingress --> forwarder --table, registrar, book--> chooser --> backend (targets)
-//	                            \--began--> counter --lease holder--> windows --> store, platform
-//	                                                  lease holder--> keeper  --> targets
+//	                            \--countRequest--> counter --lease holder--> windows --> store, platform
+//	                                                         lease holder--> keeper  --> targets
 
-// MemberTopic keeps one record of each entry instance.
+// MemberTopic is the keyed stream that holds one record for each entry instance.
 type MemberTopic interface {
 	follower.Stream
 	Put(ctx context.Context, key string, value []byte) error
 }
 
-// Platform is what the users' machines offer.
+// Platform contains the services of the users' machines.
 type Platform struct {
 	Configuration follower.Stream
 	Targets       follower.Stream
@@ -59,7 +59,7 @@
 	Duties        elector.Log
 	Backend       forwarder.Backend
 	Commander     orderkeeper.Commander
-	// Usage and Supply are nil where there are no duties.
+	// Usage and Supply are nil on a platform without usage reports and scaling.
 	Usage  reporter.UsagePlatform
 	Supply orderkeeper.TargetPlatform
 	// ConfigurationKey is the key of the configuration in its stream.
@@ -69,7 +69,7 @@
 	SameTarget          func(older, newer []byte) bool
 }
 
-// Handlers are the handlers for those who call an entry instance.
+// Handlers creates the HTTP handlers of an entry instance's listeners.
 type Handlers struct {
 	Client    func(c *Coordinator) http.Handler
 	Ready     func(c *Coordinator) http.Handler
@@ -79,12 +79,12 @@
 // Coordinator is one entry instance; use New.
 type Coordinator struct {
 	platform Platform
-	faces    Handlers
+	handlers Handlers
 	logger   *zap.Logger
 	reload   func() (*parser.EntrySettings, error)
 	settings atomic.Pointer[parser.EntrySettings]
 	self     *gossiper.Member
-	// bounds are those of the start: the windows and leases of an instance never change while it runs.
+	// bounds are the bounds at the start: windows and leases must not change while the instance runs.
 	bounds parser.EntryBounds
 
 	config   mirrorer.Mirror
@@ -97,16 +97,16 @@
 	counts   counter.Counter
 	budget   *retrier.WindowedBudget
 	peers    *gossiper.Gossiper
-	calls    *exchanger.Client
+	client   *exchanger.Client
 	elector  *elector.Elector
 	keeper   *orderkeeper.StageController
 	supplier *orderkeeper.Scaler
 	windows  *reporter.WindowReporter
 	forward  *forwarder.Forwarder
 
-	// Bodies bounds the memory that clients' bodies take.
+	// Bodies limits the memory that request bodies use.
 	Bodies forwarder.BodyBuffers
-	// Metrics answers with all metrics in the Prometheus text format.
+	// Metrics serves all metrics in the Prometheus text format.
 	Metrics http.Handler
 	metrics tally.Scope
 	closer  func() error
@@ -114,13 +114,13 @@
 	leaving  atomic.Bool
 	inFlight atomic.Int64
 
-	mu   sync.Mutex
-	told map[string]*told
+	mu           sync.Mutex
+	sendProgress map[string]*sendProgress
 }
 
-// New prepares an entry instance; reload reads the settings again.
-func New(settings *parser.EntrySettings, p Platform, faces Handlers, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
-	c := &Coordinator{platform: p, faces: faces, logger: logger, reload: reload, told: map[string]*told{}}
+// New returns an entry instance that is ready to Run; reload reads the settings again.
+func New(settings *parser.EntrySettings, p Platform, handlers Handlers, reload func() (*parser.EntrySettings, error), logger *zap.Logger) *Coordinator {
+	c := &Coordinator{platform: p, handlers: handlers, logger: logger, reload: reload, sendProgress: map[string]*sendProgress{}}
 	c.settings.Store(settings)
 	c.bounds = settings.Bounds
 	c.openMetrics()
@@ -128,29 +128,29 @@
 		ID: string(settings.Instance), Incarnation: uuid.NewString()[:incarnationDigits], Zone: string(settings.Zone),
 		ClientAddress: settings.Listen, PeerAddress: settings.PeerListen, Capacity: capacity(settings.Bounds),
 	}
-	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyPart
-	c.wireViews()
+	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyMemoryDivisor
+	c.wireMirrors()
 	c.wirePeers()
 	c.wireDuties()
 	c.wireRequests()
 	return c
 }
 
-func (c *Coordinator) wireViews() {
+func (c *Coordinator) wireMirrors() {
 	c.config.OnChange = c.configurationChanged
 	c.targets.OnChange = c.targetChanged
 	c.targets.Equivalent = c.platform.SameTarget
 	c.members.OnChange = c.memberChanged
-	c.targets.OutageThreshold = shortestOutage
-	c.targets.FailingFor = func(time.Time) time.Duration { return 0 } // Until the stream is followed.
+	c.targets.OutageThreshold = outageThreshold
+	c.targets.FailingFor = func(time.Time) time.Duration { return 0 } // Replaced once the follower is created.
 	c.registry.StoreRestoredAt = c.targets.RecoveredAt
 }
 
 func (c *Coordinator) wirePeers() {
-	c.calls = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	c.client = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.calls, Logger: c.logger, Status: c.status, AddPayload: c.complete, OnStatus: c.heard, OnMessage: c.learned}
+	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.client, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
 }
 
 func (c *Coordinator) wireDuties() {
@@ -169,7 +169,7 @@
 	}
 	c.windows = &reporter.WindowReporter{
 		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
-		Now: c.trueTime, Total: c.counts.Total, Logger: c.logger,
+		Now: c.medianTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
 
@@ -177,18 +177,19 @@
 	bounds := c.bounds
 	c.budget = &retrier.WindowedBudget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
-		MemberCount: c.instances,
+		MemberCount: c.instanceCount,
 	}
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
-		Targets: c.registry.Available, Expected: c.expected, Instances: c.instances,
-		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.spread,
+		Targets: c.registry.Available, Expected: c.expected, Instances: c.instanceCount,
+		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
 		Backend: c.platform.Backend, Budget: c.budget,
-		CountRequest: c.began, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
+		CountRequest: c.countRequest, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
 }
 
-// expected is how soon a target that was told to change to a stage will have changed.
+// expected returns how soon the first target that was ordered to change to a stage will be ready, or false if there is
+// none.
 func (c *Coordinator) expected(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool) {
 	s := c.table.Load().Service(service)
 	if s == nil || s.Engine == nil {
@@ -206,28 +207,29 @@
 	return soonest, found
 }
 
-// instances is how many instances are alive, this one with them.
-func (c *Coordinator) instances() int { return len(c.peers.Alive(time.Now())) + 1 }
+// instanceCount returns the number of live instances, including this one.
+func (c *Coordinator) instanceCount() int { return len(c.peers.Alive(time.Now())) + 1 }
 
-// spread is how far apart the predictions of two instances may be, by the age of what they know of each other.
-func (c *Coordinator) spread() time.Duration {
+// jitter returns the likely difference between the predictions of two instances, which grows with the age of the load
+// that they report to each other.
+func (c *Coordinator) jitter() time.Duration {
 	if c.peers.UsesHubs() {
-		return spreadLarge
+		return hubJitter
 	}
-	return spreadSmall
+	return meshJitter
 }
 
-// Serve answers a client's call.
+// Serve handles a client's call.
 func (c *Coordinator) Serve(ctx context.Context, w http.ResponseWriter, call *forwarder.Call) {
 	c.forward.Serve(ctx, w, call)
 }
 
-// Ready tells whether this instance takes requests.
+// Ready reports whether this instance accepts requests.
 func (c *Coordinator) Ready() bool {
 	return !c.leaving.Load() && c.table.Load() != nil && c.registry.Targets() != nil
 }
 
-// Limits bounds what a client may send and how long it may take, by the configuration in force.
+// Limits returns the size and time limits for client requests, from the configuration in force or the defaults.
 func (c *Coordinator) Limits() matcher.Limits {
 	l := matcher.Limits{}
 	if t := c.table.Load(); t != nil {
@@ -239,12 +241,13 @@
 	}
 }
 
-// capacity compares instances: thousandths of a core, or tens of kilobits a second where the link is the bottleneck.
+// capacity returns the capacity of an instance for comparison with others: thousandths of a core, or units of 100
+// kbit/s if the link is the bottleneck.
 func capacity(b parser.EntryBounds) uint32 {
 	return uint32(min(b.Cores*1000, b.LinkMegabits*10))
 }
 
-// Addresses returns where a client of an availability zone may connect: instances that are known to be alive and ready.
+// Addresses returns the addresses of live and ready instances for a client in an availability zone.
 func (c *Coordinator) Addresses(zone identifier.ZoneID) []string {
 	var ready []*gossiper.Member
 	if c.Ready() {
@@ -270,15 +273,15 @@
 	return age
 }
 
-// began counts a request that begins to run now.
-func (c *Coordinator) began(team identifier.TeamID) {
+// countRequest counts a request that starts now; requests without a team are not counted.
+func (c *Coordinator) countRequest(team identifier.TeamID) {
 	if team == "" {
 		return
 	}
-	c.counts.Add(c.self.Incarnation, counter.Window(c.trueTime(), c.bounds.UsageWindow), team)
+	c.counts.Add(c.self.Incarnation, counter.Window(c.medianTime(), c.bounds.UsageWindow), team)
 }
 
-// configurationChanged puts a newer version in force; an older one or one that cannot be read changes nothing.
+// configurationChanged puts a newer version in force. An older or unreadable one has no effect.
 func (c *Coordinator) configurationChanged(r mirrorer.Record) {
 	if r.Key != c.platform.ConfigurationKey {
 		return
@@ -295,7 +298,7 @@
 			return
 		}
 		if c.table.CompareAndSwap(old, next) {
-			asserter.That(old == nil || old.Version < next.Version, asserter.ConfigurationNeverReverts, "version %d after a later one", next.Version)
+			asserter.That(old == nil || old.Version < next.Version, asserter.ConfigurationNeverReverts, "version %d replaces a later one", next.Version)
 			break
 		}
 	}
@@ -304,7 +307,7 @@
 	c.peers.SendNow()
 }
 
-// targetChanged takes a target's entry. One that cannot be read names no target to use.
+// targetChanged applies a target's entry. A target with an unreadable entry is dropped.
 func (c *Coordinator) targetChanged(r mirrorer.Record) {
 	id := identifier.TargetID(r.Key)
 	if len(r.Value) == 0 {
@@ -330,7 +333,7 @@
 
 func (c *Coordinator) memberChanged(r mirrorer.Record) {
 	if len(r.Value) == 0 {
-		return // It said that it leaves; its silence is what counts.
+		return // The member unregistered; it counts as alive until its statuses expire.
 	}
 	m := &gossiper.Member{}
 	if err := proto.Unmarshal(r.Value, m); err != nil {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -10,29 +10,30 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/gossiper"
 )
 
-// The users' drain bounds of small and of large sites.
+// The users' bounds for the time until no request reaches a leaving target, for small and for large sites.
 const (
 	smallBound = 2 * time.Second
 	largeBound = 3 * time.Second
-	// call is one of a store that answers in 4 ms, with a queue before it.
-	call = 200 * time.Millisecond
-	// hub and leaf are ranks of an instance that passes beats on and of one that does not.
-	hub  = 5
-	leaf = 40
+	// storeCallTime is the duration of a call to a store that answers in 4 ms, including queueing.
+	storeCallTime = 200 * time.Millisecond
+	// hubRank and leafRank are the ranks of an instance that is a hub and of one that is not.
+	hubRank  = 5
+	leafRank = 40
 )
 
-// TestCopiesAreReadInTime adds up what the news that a target leaves may take: the copy's age, an exchange that took as
-// long as it may, so that the age was understated, and the call to the store.
+// TestCopiesAreReadInTime checks the longest time until an instance reads from the store that a target leaves: the age
+// of its copy, understated by an exchange that took as long as its timeout, plus the call to the store.
 func TestCopiesAreReadInTime(t *testing.T) {
-	worst := coordinator.MaximumCopyAge(false, hub) + gossiper.ExchangeTimeout + call
+	worst := coordinator.MaximumCopyAge(false, hubRank) + gossiper.ExchangeTimeout + storeCallTime
 	quicktest.Check(t, worst < smallBound, quicktest.IsTrue, quicktest.Commentf("small: %v", worst))
-	worst = coordinator.MaximumCopyAge(true, leaf) + gossiper.ExchangeTimeout + call
+	worst = coordinator.MaximumCopyAge(true, leafRank) + gossiper.ExchangeTimeout + storeCallTime
 	quicktest.Check(t, worst < largeBound, quicktest.IsTrue, quicktest.Commentf("large: %v", worst))
 }
 
-// TestTurnedAwayHearInTime adds up the way of the same news to an instance that the store turns away, as it does its hub:
-// from a hub that reads the store by a second hub, each step with its interval, one of the exchanges as slow as it may be.
-func TestTurnedAwayHearInTime(t *testing.T) {
-	worst := coordinator.MaximumCopyAge(true, hub) + 2*gossiper.RelayInterval + gossiper.ExchangeTimeout
+// TestRefusedInstanceIsUpdatedInTime checks the same time for an instance that the store refuses, as it refuses the hub
+// of the instance. The record takes two hops, from a hub that reads the store over a second hub; each hop waits for an
+// interval, and one exchange takes as long as its timeout.
+func TestRefusedInstanceIsUpdatedInTime(t *testing.T) {
+	worst := coordinator.MaximumCopyAge(true, hubRank) + 2*gossiper.RelayInterval + gossiper.ExchangeTimeout
 	quicktest.Check(t, worst < largeBound, quicktest.IsTrue, quicktest.Commentf("%v", worst))
 }
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,2 +1,3 @@
-// Package coordinator runs an entry instance on the users' machines: it joins requests, targets, peers, store and duties.
+// Package coordinator runs an entry instance on the users' machines: it connects request handling, targets, peers, the
+// store and the duties of the lease holder.
 package coordinator
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -12,20 +12,20 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/mirrorer"
 )
 
-// metricsInterval is how often counted values reach the page of metrics.
+// metricsInterval is the time between updates of the exported metrics.
 const metricsInterval = time.Second
 
-// latencyBuckets are the upper bounds of the latency histograms in seconds: around the promised times of the users'
+// latencyBuckets are the upper bounds of the latency histograms in seconds. They cover the promised times of the users'
 // routes, from 0.1 s to 1.6 s, and their deadlines.
 var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.6, 0.8, 1.2, 1.6, 2.5, 4, 6}
 
-// openMetrics prepares the scope in which all parts count, and the page that shows it.
+// openMetrics creates the metrics scope of the process and the handler that exports it.
 func (c *Coordinator) openMetrics() {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprometheus.NewReporter(tallyprometheus.Options{
 		Registerer: registry, Gatherer: registry,
 		DefaultTimerType: tallyprometheus.HistogramTimerType, DefaultHistogramBuckets: latencyBuckets,
-		OnRegisterError: func(err error) { c.logger.Error("metric not registered", zap.Error(err)) },
+		OnRegisterError: func(err error) { c.logger.Error("cannot register metric", zap.Error(err)) },
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		CachedReporter: reporter, Separator: tallyprometheus.DefaultSeparator, OmitCardinalityMetrics: true,
@@ -33,8 +33,8 @@
 	c.metrics, c.closer, c.Metrics = scope, closer.Close, reporter.HTTPHandler()
 }
 
-// gauge notes what this instance knows and how old that is.
-func (c *Coordinator) gauge(now time.Time) {
+// updateGauges sets the gauges for this instance's copies of replicated data, its peers, its requests and its duties.
+func (c *Coordinator) updateGauges(now time.Time) {
 	set := func(name string, value float64) { c.metrics.Gauge(name).Update(value) }
 	if t := c.table.Load(); t != nil {
 		set("ConfigurationVersion", float64(t.Version))
@@ -45,12 +45,12 @@
 		}
 	}
 	set("Targets", float64(len(c.registry.Targets())))
-	set("Instances", float64(c.instances()))
+	set("Instances", float64(c.instanceCount()))
 	set("InFlight", float64(c.inFlight.Load()))
 	set("Violations", float64(asserter.Violations()))
 	fence, err := c.elector.Authority()
 	if err != nil {
-		fence = 0 // Another instance holds the duties, or nobody.
+		fence = 0 // This instance does not hold the duties.
 	}
 	set("DutyFence", float64(fence))
 }
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -29,26 +29,26 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
 )
 
-// Run serves until SIGTERM and then leaves without cutting a request.
+// Run serves until SIGTERM, an interrupt or the end of stop, and then drains requests and leaves.
 func (c *Coordinator) Run(stop context.Context) error {
 	settings := c.settings.Load()
-	debug.SetMemoryLimit(int64(memoryPart * float64(settings.Bounds.MemoryMegabytes<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.Bounds.MemoryMegabytes<<20)))
 	c.logger.Info("entry instance starts", zap.String("Incarnation", c.self.Incarnation), zap.String("Zone", c.self.Zone),
 		zap.Strings("Seeds", settings.Seeds))
 	peerLis, err := net.Listen("tcp", settings.PeerListen)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("listen for peers: %w", err)
 	}
 	asserter.OnViolation(func(invariant asserter.Invariant, detail string) {
 		c.logger.Error("invariant violated", zap.String("Invariant", string(invariant)), zap.String("Detail", detail))
 	})
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	duties, yield := context.WithCancel(background)
-	defer yield()
+	duties, stopDuties := context.WithCancel(background)
+	defer stopDuties()
 	var group sync.WaitGroup
 	c.start(background, duties, peerLis, &group)
-	err = c.serve(stop, yield)
+	err = c.serve(stop, stopDuties)
 	c.unregister(background)
 	cancel()
 	group.Wait()
@@ -56,23 +56,23 @@
 	return errors.Join(err, c.closer())
 }
 
-// start runs each duty on a goroutine of its own.
+// start runs each background task in a goroutine of its own. The tasks of the lease holder end with duties.
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
 		New:    func() proto.Message { return &gossiper.Beat{} },
 		Answer: func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
 		Logger: c.logger,
 	}
-	targets := c.follow(streamTargets, c.platform.Targets, &c.targets, c.readAge)
+	targets := c.newFollower(streamTargets, c.platform.Targets, &c.targets, c.copyAge)
 	c.targets.FailingFor = targets.FailingFor
-	for _, duty := range []func(context.Context){
-		c.peers.Run, c.contactSeeds, c.register, c.tidy, c.watchSettings,
-		c.follow(streamConfiguration, c.platform.Configuration, &c.config, c.readAge).Run,
+	for _, task := range []func(context.Context){
+		c.peers.Run, c.contactSeeds, c.register, c.cleanUp, c.watchSettings,
+		c.newFollower(streamConfiguration, c.platform.Configuration, &c.config, c.copyAge).Run,
 		targets.Run,
-		c.follow(streamMembers, c.platform.Members, &c.members, c.memberAge).Run,
+		c.newFollower(streamMembers, c.platform.Members, &c.members, c.memberCopyAge).Run,
 		func(ctx context.Context) { peerServer.Serve(ctx, peerLis) },
 	} {
-		group.Go(func() { duty(background) })
+		group.Go(func() { task(background) })
 	}
 	group.Go(func() { c.elector.Run(duties) })
 	if !c.settings.Load().Routing.FixedStages {
@@ -84,39 +84,41 @@
 	}
 }
 
-func (c *Coordinator) follow(name string, s follower.Stream, m *mirrorer.Mirror, age func() time.Duration) *follower.Follower {
+func (c *Coordinator) newFollower(name string, s follower.Stream, m *mirrorer.Mirror, age func() time.Duration) *follower.Follower {
 	return &follower.Follower{
 		Name: name, Stream: s, Mirror: m, Logger: c.logger, MaximumAge: age,
 	}
 }
 
-// readAge is how old this instance lets its copies grow: the first of all reads the store, the others wait for its beats.
-func (c *Coordinator) readAge() time.Duration { return readerAge + c.delay() }
+// copyAge returns the age at which this instance refreshes its copies of configuration and targets from the store. It
+// rises with the rank, so that usually only the first instance reads and the others receive the records from peers.
+func (c *Coordinator) copyAge() time.Duration { return readerCopyAge + c.readDelay() }
 
-// memberAge is the same for the list of members, which fills in the first seconds and rarely changes later.
-func (c *Coordinator) memberAge() time.Duration {
-	if gossiper.Monotonic(time.Now()) < gatherTime {
-		return gatherAge
+// memberCopyAge is copyAge for the members, most of which register in the first seconds and which rarely change later.
+func (c *Coordinator) memberCopyAge() time.Duration {
+	if gossiper.Monotonic(time.Now()) < discoveryTime {
+		return discoveryCopyAge
 	}
-	return memberAge + c.delay()
+	return memberCopyAge + c.readDelay()
 }
 
-func (c *Coordinator) delay() time.Duration {
+// readDelay returns the delay by rank before this instance reads the store itself.
+func (c *Coordinator) readDelay() time.Duration {
 	rank := c.rank()
-	most := MaximumCopyAge(c.peers.UsesHubs(), rank) - readerAge
-	return min(most, time.Duration(rank)*rankDelay)
+	maximum := MaximumCopyAge(c.peers.UsesHubs(), rank) - readerCopyAge
+	return min(maximum, time.Duration(rank)*rankDelay)
 }
 
-// MaximumCopyAge is how old the instance of a rank lets its copies of the configuration and the targets grow by what beats
-// tell. They may be older in truth by the time that an exchange took.
+// MaximumCopyAge returns the age, according to gossip messages, at which the instance of a rank refreshes its copies of
+// configuration and targets at the latest. The actual age may be higher by the duration of an exchange.
 func MaximumCopyAge(large bool, rank int) time.Duration {
 	if large && rank >= hubReaders {
-		return readerAge + mostDelayLarge
+		return readerCopyAge + maximumDelayWithHubs
 	}
-	return readerAge + mostDelay
+	return readerCopyAge + maximumDelay
 }
 
-// contactSeeds makes this instance known to those that its settings name, until one is heard.
+// contactSeeds contacts the seed addresses of the settings until a peer is alive.
 func (c *Coordinator) contactSeeds(ctx context.Context) {
 	for len(c.peers.Alive(time.Now())) == 0 {
 		for _, addr := range c.settings.Load().Seeds {
@@ -124,64 +126,65 @@
 				continue
 			}
 			if err := c.peers.Contact(ctx, addr); err != nil {
-				c.logger.Debug("seed not reached", zap.String("Address", addr), zap.Error(err))
+				c.logger.Debug("cannot reach seed", zap.String("Address", addr), zap.Error(err))
 			}
 		}
-		if sleeper.Sleep(ctx, registerRetry) != nil {
+		if sleeper.Sleep(ctx, joinRetryPause) != nil {
 			return
 		}
 	}
 }
 
-// register writes this instance's record, until it is done.
+// register writes this instance's member record to the store, with retries until it succeeds.
 func (c *Coordinator) register(ctx context.Context) {
 	record, err := proto.Marshal(c.self)
 	if err != nil {
-		c.logger.Error("member record not made", zap.Error(err))
+		c.logger.Error("cannot encode member record", zap.Error(err))
 		return
 	}
 	for {
-		err := c.put(ctx, record)
+		err := c.putMember(ctx, record)
 		if err == nil {
 			return
 		}
-		c.logger.Debug("member not registered", zap.Error(err))
-		if sleeper.Sleep(ctx, registerRetry) != nil {
+		c.logger.Debug("cannot register member", zap.Error(err))
+		if sleeper.Sleep(ctx, joinRetryPause) != nil {
 			return
 		}
 	}
 }
 
-// unregister drops the record; one that stays is harmless, because members count only while they are heard.
+// unregister deletes the member record. A record that remains is harmless, because members count only while they send
+// statuses.
 func (c *Coordinator) unregister(ctx context.Context) {
-	if err := c.put(ctx, nil); err != nil {
-		c.logger.Debug("member not unregistered", zap.Error(err))
+	if err := c.putMember(ctx, nil); err != nil {
+		c.logger.Debug("cannot unregister member", zap.Error(err))
 	}
 }
 
-func (c *Coordinator) put(ctx context.Context, record []byte) error {
+func (c *Coordinator) putMember(ctx context.Context, record []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return c.platform.Members.Put(ctx, c.self.ID, record)
 }
 
-// tidy forgets what is gone.
-func (c *Coordinator) tidy(ctx context.Context) {
-	for sleeper.Sleep(ctx, tidyPause) == nil {
+// cleanUp removes outdated state, and updates the demand samples and gauges, at each cleanupInterval.
+func (c *Coordinator) cleanUp(ctx context.Context) {
+	for sleeper.Sleep(ctx, cleanupInterval) == nil {
 		c.registry.Expire(time.Now())
 		c.book.Retain(c.registry.Targets(), time.Now())
 		c.demand.Sample(time.Now())
-		c.gauge(time.Now())
-		c.counts.Prune(c.trueTime().UnixMilli() / c.bounds.UsageWindow.Milliseconds())
+		c.updateGauges(time.Now())
+		c.counts.Prune(c.medianTime().UnixMilli() / c.bounds.UsageWindow.Milliseconds())
 	}
 }
 
-// watchSettings takes new settings over at SIGHUP, or when they differ without one.
+// watchSettings applies new settings on SIGHUP, or when a periodic check finds a change.
 func (c *Coordinator) watchSettings(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	broken := false
+	invalid := false
 	for ctx.Err() == nil {
 		signaled := false
 		select {
@@ -189,41 +192,42 @@
 			return
 		case <-hangup:
 			signaled = true
-		case <-time.After(settingsPause):
+		case <-time.After(settingsInterval):
 		}
 		s, err := c.reload()
 		switch {
-		case err != nil && (signaled || !broken):
+		case err != nil && (signaled || !invalid):
 			c.logger.Error("settings not usable, the ones before stay in force", zap.Bool("Signal", signaled), zap.Error(err))
 		case err == nil && (signaled || !equalSettings(s, c.settings.Load())):
 			c.settings.Store(s)
 			c.logger.Info("settings reloaded", zap.Bool("Signal", signaled), zap.Strings("Seeds", s.Seeds),
 				zap.Bool("BoundsAtNextStart", s.Bounds != c.bounds))
 		}
-		broken = err != nil
+		invalid = err != nil
 	}
 }
 
-// serve answers until a signal, or the end of stop, and the last request.
-func (c *Coordinator) serve(stop context.Context, yield func()) error {
+// serve runs the HTTP servers until a signal or the end of stop, and then until the last request is done.
+func (c *Coordinator) serve(stop context.Context, stopDuties func()) error {
 	settings := c.settings.Load()
-	client, err := c.listen(settings.Listen, max(1, settings.Bounds.Descriptors-reservedDescriptors), c.countInFlight(c.faces.Client(c)))
+	client, err := c.listen(settings.Listen, max(1, settings.Bounds.Descriptors-reservedDescriptors), c.countInFlight(c.handlers.Client(c)))
 	if err != nil {
 		return err
 	}
-	ready, err := c.listen(settings.ReadyListen, controlConnections, c.faces.Ready(c))
+	ready, err := c.listen(settings.ReadyListen, controlConnections, c.handlers.Ready(c))
 	if err != nil {
 		return err
 	}
-	directory, err := c.listen(settings.DirectoryListen, controlConnections, c.faces.Directory(c))
+	directory, err := c.listen(settings.DirectoryListen, controlConnections, c.handlers.Directory(c))
 	if err != nil {
 		return err
 	}
 	var once sync.Once
 	servers := []transport.Server{client, ready, directory}
 	if metrics, err := c.listen(settings.MetricsListen, controlConnections, c.Metrics); err != nil {
-		// The port of the metrics is fixed, while the others are new each day: clients come first.
-		c.logger.Error("metrics not served", zap.Error(err))
+		// The metrics port is fixed, while the other ports change daily: it may be in use, which must not stop the
+		// service.
+		c.logger.Error("cannot serve metrics", zap.Error(err))
 	} else {
 		servers = append(servers, metrics)
 	}
@@ -232,13 +236,13 @@
 		kratos.Signal(syscall.SIGTERM, os.Interrupt),
 		kratos.StopTimeout(settings.Bounds.Grace-leaveTime-stopMargin),
 		kratos.BeforeStop(func(context.Context) error {
-			once.Do(func() { c.leave(client, yield) })
+			once.Do(func() { c.leave(client, stopDuties) })
 			return nil
 		}),
 	)
 	stopped := context.AfterFunc(stop, func() {
 		if err := app.Stop(); err != nil {
-			c.logger.Error("not stopped", zap.Error(err))
+			c.logger.Error("cannot stop servers", zap.Error(err))
 		}
 	})
 	defer stopped()
@@ -249,7 +253,7 @@
 	return err
 }
 
-// controlConnections bounds the callers of readiness and of the directory.
+// controlConnections limits the connections to each listener for readiness, directory and metrics.
 const controlConnections = 400
 
 func (c *Coordinator) listen(addr string, connections int, h http.Handler) (*khttp.Server, error) {
@@ -265,7 +269,7 @@
 	srv.ReadHeaderTimeout = networker.HeaderMark
 	srv.IdleTimeout = networker.IdleMark
 	srv.ErrorLog = zap.NewStdLog(c.logger)
-	// kratos' router would redirect paths that it finds unclean.
+	// This bypasses the router of kratos, which redirects paths that are not clean.
 	srv.Handler = h
 	return srv, nil
 }
@@ -283,11 +287,11 @@
 	})
 }
 
-// leave says that this instance leaves, and goes on serving until clients have heard of it.
-func (c *Coordinator) leave(client *khttp.Server, yield func()) {
+// leave announces that this instance leaves, and waits for clients to stop using its address.
+func (c *Coordinator) leave(client *khttp.Server, stopDuties func()) {
 	c.leaving.Store(true)
 	c.logger.Info("leaving", zap.Int64("InFlight", c.inFlight.Load()))
-	yield()
+	stopDuties()
 	c.peers.SendNow()
 	client.SetKeepAlivesEnabled(false)
 	time.Sleep(leaveTime)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -23,7 +23,8 @@
 	// meshAlive and relayAlive are how long a peer counts as alive after it created its last status.
 	meshAlive  = 1500 * time.Millisecond
 	relayAlive = 3 * time.Second
-	// retryPause is the pause after a failed exchange; gonePause replaces it once a peer's status is older than goneTime.
+	// retryPause is the pause after a failed exchange; gonePause replaces it once a peer's status is older than
+	// goneTime.
 	retryPause = 500 * time.Millisecond
 	gonePause  = 3 * time.Second
 	goneTime   = 15 * time.Second
@@ -51,19 +52,19 @@
 
 // Gossiper exchanges gossip messages with its partners; exported fields must be set before Run.
 //
-// Each exchange carries a message in both directions. The partner with the smaller id makes the call; the other one calls
-// only if it receives no calls. The partners are selected in topology.go.
+// Each exchange carries a message in both directions. The partner with the smaller id makes the call; the other one
+// calls only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
 	Self   *Member
 	Caller Caller
 	Logger *zap.Logger
 	// Status returns the current status of this instance.
 	Status func(now time.Time) *Status
-	// AddPayload adds everything except statuses and membership to the message b for a peer. last is the last message received
-	// from that peer, or nil if there is none.
+	// AddPayload adds everything except statuses and membership to the message b for a peer. last is the last message
+	// received from that peer, or nil if there is none.
 	AddPayload func(b, last *Beat)
-	// OnStatus is called for each status that is newer than the previous one of its instance, and OnMessage for each received
-	// message, after its statuses.
+	// OnStatus is called for each status that is newer than the previous one of its instance, and OnMessage for each
+	// received message, after its statuses.
 	OnStatus  func(s *Status, now time.Time)
 	OnMessage func(b *Beat, now time.Time)
 
@@ -79,8 +80,8 @@
 type peer struct {
 	Peer
 	status *Status
-	// lastMessage is the newest message received from the peer itself, at receivedAt; failedAt is when an exchange with it
-	// last failed.
+	// lastMessage is the newest message received from the peer itself, at receivedAt; failedAt is when an exchange with
+	// it last failed.
 	lastMessage *Beat
 	receivedAt  time.Time
 	failedAt    time.Time
@@ -250,7 +251,8 @@
 		b.Statuses = append(b.Statuses, g.statusesToRelay(p, now)...)
 	}
 	b.Known = uint32(len(g.peers) + 1)
-	// A peer that has not sent a message yet most likely has the member list: every instance reads it from the store at start.
+	// A peer that has not sent a message yet most likely has the member list: every instance reads it from the store at
+	// start.
 	if lastMessage != nil && lastMessage.Known < b.Known {
 		for _, other := range g.peers {
 			b.Members = append(b.Members, other.Member)
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestExchangesDoNotGrowQuadratically limits the exchanges per instance and second: two hubs per zone, two exchanges per
-// second, and an allowance for new partners.
+// TestExchangesDoNotGrowQuadratically limits the exchanges per instance and second: two hubs per zone, two exchanges
+// per second, and an allowance for new partners.
 func TestExchangesDoNotGrowQuadratically(t *testing.T) {
 	run(t, 63, func(fl *fleet) {
 		fl.mu.Lock()
@@ -146,7 +146,8 @@
 	})
 }
 
-// TestLostHubs stops both hubs of a zone: within seconds the others drop them from the live peers and see each other again.
+// TestLostHubs stops both hubs of a zone: within seconds the others drop them from the live peers and see each other
+// again.
 func TestLostHubs(t *testing.T) {
 	run(t, 30, func(fl *fleet) {
 		fl.stop("entry-01")
@@ -159,8 +160,8 @@
 	})
 }
 
-// TestOutdatedMemberDoesNotReplaceLiveIncarnation restarts an instance while an outdated record of its previous incarnation
-// keeps arriving, as it does from the store and from peers.
+// TestOutdatedMemberDoesNotReplaceLiveIncarnation restarts an instance while an outdated record of its previous
+// incarnation keeps arriving, as it does from the store and from peers.
 func TestOutdatedMemberDoesNotReplaceLiveIncarnation(t *testing.T) {
 	run(t, 8, func(fl *fleet) {
 		fl.stop("entry-03")
@@ -177,8 +178,8 @@
 	})
 }
 
-// TestWeakInstancesAreNoHubs guards against a fault of rolling restarts on machines of two sizes: when all strong instances
-// of a zone were down, a weak one became hub and relayed the messages of its zone over a slow link.
+// TestWeakInstancesAreNoHubs guards against a fault of rolling restarts on machines of two sizes: when all strong
+// instances of a zone were down, a weak one became hub and relayed the messages of its zone over a slow link.
 func TestWeakInstancesAreNoHubs(t *testing.T) {
 	strong := func(i int) uint32 { return map[bool]uint32{true: 800, false: 100}[i < 6] }
 	runFleet(t, 45, strong, func(fl *fleet) {
--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -10,12 +10,13 @@
 )
 
 // A small fleet is a full mesh: all instances are partners of each other. In a large fleet the live instances with the
-// highest capacity in each availability zone are hubs: the partners of an instance are the hubs of its zone, and all hubs
-// are partners of each other. An instance with far less capacity than the strongest one is never a hub, because gossip
-// messages would saturate its link. The instances of a zone without a hub use two hubs of other zones, selected by a hash
-// of the ids. Hubs relay the statuses of other instances, each status once to each partner. The message rate of an
-// instance therefore does not grow with the fleet, that of a hub grows with its zone, and few messages cross zones. Each
-// instance computes the hubs from its own view; while views differ, an instance may have a partner more or less.
+// highest capacity in each availability zone are hubs: the partners of an instance are the hubs of its zone, and all
+// hubs are partners of each other. An instance with far less capacity than the strongest one is never a hub, because
+// gossip messages would saturate its link. The instances of a zone without a hub use two hubs of other zones, selected
+// by a hash of the ids. Hubs relay the statuses of other instances, each status once to each partner. The message rate
+// of an instance therefore does not grow with the fleet, that of a hub grows with its zone, and few messages cross
+// zones. Each instance computes the hubs from its own view; while views differ, an instance may have a partner more or
+// less.
 
 const (
 	// meshSize is the largest fleet that uses a full mesh.
@@ -46,8 +47,8 @@
 	return meshAlive
 }
 
-// callDue reports whether this instance calls a peer now, and the pause before the next check. Of two partners the one with
-// the smaller id calls; the other one calls if it has received no message for three intervals.
+// callDue reports whether this instance calls a peer now, and the pause before the next check. Of two partners the one
+// with the smaller id calls; the other one calls if it has received no message for three intervals.
 func (g *Gossiper) callDue(p *peer, now time.Time) (bool, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -78,8 +79,8 @@
 	return false
 }
 
-// hubsOf returns the hubs of an instance: those of its zone, or some of other zones if its zone has none. The caller must
-// hold mu.
+// hubsOf returns the hubs of an instance: those of its zone, or some of other zones if its zone has none. The caller
+// must hold mu.
 func (g *Gossiper) hubsOf(id, zone string) []string {
 	var own, all []string
 	for hub := range g.hubs {
@@ -146,8 +147,8 @@
 	return g.Self.Capacity
 }
 
-// statusesToRelay returns the statuses of other instances that were not sent to a partner yet; only hubs relay. The caller
-// must hold mu.
+// statusesToRelay returns the statuses of other instances that were not sent to a partner yet; only hubs relay. The
+// caller must hold mu.
 func (g *Gossiper) statusesToRelay(p *peer, now time.Time) []*Status {
 	if !g.usesHubs() || !g.currentHubs(now)[g.Self.ID] {
 		return nil
