--- a/internal/mirrorer/doc.go
+++ b/internal/mirrorer/doc.go
@@ -1,2 +1,2 @@
-// Package mirrorer keeps the newest record of each key of a stream, fed by the store and by peers.
+// Package mirrorer keeps the newest record of each key of a stream, received from the store and from peers.
 package mirrorer
--- a/internal/mirrorer/mirror.go
+++ b/internal/mirrorer/mirror.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Record is the newest record of a key; without a value the key was dropped.
+// Record is the newest record of a key; an empty value means that the key was deleted.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -17,29 +17,32 @@
 
 // Mirror is a copy of a keyed stream; the zero value is empty.
 //
-// Records may arrive in any order and more than once: of each key the one with the highest offset stays.
+// Records may arrive in any order and more than once; for each key the one with the highest offset is kept.
 type Mirror struct {
-	// OnChange is called, without the lock, for each record that replaced an older one; it may be nil.
+	// OnChange is called, without the lock held, for each record that is new or replaces an older one; it may be nil.
 	OnChange func(Record)
-	// Equivalent tells that a newer value means the same as the one before, so that peers need not hear of it; it may be nil.
+	// Equivalent reports whether a newer value means the same as the older one. The record is then ignored, so that it
+	// is not sent to peers. It may be nil.
 	Equivalent func(older, newer []byte) bool
-	// OutageThreshold is how long nobody must have brought news, while calls failed, for the stream to count as away; zero: never.
+	// OutageThreshold is the time without fresh data, while calls failed, that counts as an outage; zero disables
+	// detection.
 	OutageThreshold time.Duration
-	// FailingFor returns for how long this instance's own calls have failed: without such a failure a gap in the news is a
-	// pause of this instance, or of its peers. It must be set where Outage is.
+	// FailingFor returns for how long this instance's own calls have failed. Without failed calls, a time without fresh
+	// data is a pause of this instance or of its peers. It must be set if OutageThreshold is.
 	FailingFor func(now time.Time) time.Duration
 
 	mu      sync.Mutex
 	records map[string]Record
 	next    identifier.Offset
 	freshAt time.Time
-	// regained is when news came after the last outage.
-	regained time.Time
+	// recoveredAt is when fresh data arrived after the last outage.
+	recoveredAt time.Time
 }
 
-// Apply takes records that are known to be all there is before next, as of the instant asOf.
+// Apply merges records into the mirror. Together with the known records they are complete up to next, as of the time
+// asOf.
 //
-// A zero asOf tells that the sender never heard the store, so freshness stays as it is.
+// A zero asOf means that the sender has never read the store; it does not change the mirror's age.
 func (m *Mirror) Apply(records []Record, next identifier.Offset, asOf time.Time) {
 	changed := m.merge(records, next, asOf)
 	if m.OnChange == nil {
@@ -50,15 +53,15 @@
 	}
 }
 
-// Replace takes the newest records of all keys; keys that are not among them were dropped before next.
+// Replace merges the newest records of all keys; keys without a record were deleted before next.
 func (m *Mirror) Replace(records []Record, next identifier.Offset, asOf time.Time) {
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, r := range records {
-		there[r.Key] = true
+		present[r.Key] = true
 	}
 	m.mu.Lock()
 	for key, r := range m.records {
-		if !there[key] && len(r.Value) > 0 && r.Offset < next {
+		if !present[key] && len(r.Value) > 0 && r.Offset < next {
 			records = append(records, Record{Key: key, Offset: next - 1})
 		}
 	}
@@ -66,6 +69,7 @@
 	m.Apply(records, next, asOf)
 }
 
+// merge stores the records that are newer than the known ones, and returns them.
 func (m *Mirror) merge(records []Record, next identifier.Offset, asOf time.Time) []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,21 +91,21 @@
 	m.next = max(m.next, next)
 	if asOf.After(m.freshAt) && next >= m.next {
 		if m.OutageThreshold > 0 && !m.freshAt.IsZero() && asOf.Sub(m.freshAt) >= m.OutageThreshold && m.FailingFor(asOf) >= m.OutageThreshold {
-			m.regained = asOf
+			m.recoveredAt = asOf
 		}
 		m.freshAt = asOf
 	}
 	return changed
 }
 
-// Next returns the offset up to which all records are known.
+// Next returns the offset up to which the mirror is complete.
 func (m *Mirror) Next() identifier.Offset {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.next
 }
 
-// Age returns how long ago the mirror was known to lack nothing, or false if it never was.
+// Age returns the time since the mirror was known to be complete, or false if it never was.
 func (m *Mirror) Age(now time.Time) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,13 +115,13 @@
 	return now.Sub(m.freshAt), true
 }
 
-// RecoveredAt returns when news came after the last outage, or zero.
+// RecoveredAt returns when fresh data arrived after the last outage, or zero if there was none.
 //
-// A store that refuses this instance alone is not away: peers bring the news.
+// A store that refuses only this instance is not an outage, because peers send fresh data.
 func (m *Mirror) RecoveredAt() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.regained
+	return m.recoveredAt
 }
 
 // Since returns the records from an offset on, oldest first.
--- a/internal/mirrorer/mirror_test.go
+++ b/internal/mirrorer/mirror_test.go
@@ -13,27 +13,27 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func TestOutageIsAGapInTheNewsOfAll(t *testing.T) {
+func TestOutageNeedsFailuresAndNoFreshData(t *testing.T) {
 	failing := 10 * time.Second
 	m := &mirrorer.Mirror{OutageThreshold: 2 * time.Second, FailingFor: func(time.Time) time.Duration { return failing }}
 	m.Apply(nil, 1, at(0))
-	quicktest.Assert(t, m.RecoveredAt().IsZero(), quicktest.IsTrue, quicktest.Commentf("the first news end no outage"))
-	// This instance is turned away by the store for many seconds while peers bring the news.
+	quicktest.Assert(t, m.RecoveredAt().IsZero(), quicktest.IsTrue, quicktest.Commentf("the first data does not end an outage"))
+	// The store refuses this instance for many seconds while peers send fresh data.
 	for s := 1.0; s < 20; s++ {
 		m.Apply(nil, 1, at(s))
 	}
 	m.Apply([]mirrorer.Record{{Key: "a", Value: []byte("1"), Offset: 1}}, 2, at(20))
 	quicktest.Assert(t, m.RecoveredAt().IsZero(), quicktest.IsTrue)
 	m.Apply(nil, 1, at(25))
-	quicktest.Assert(t, m.RecoveredAt().IsZero(), quicktest.IsTrue, quicktest.Commentf("a peer that knows less brings no news"))
-	regained := time.Time{}
-	m.OnChange = func(mirrorer.Record) { regained = m.RecoveredAt() }
+	quicktest.Assert(t, m.RecoveredAt().IsZero(), quicktest.IsTrue, quicktest.Commentf("data from a peer at a lower offset is not fresh"))
+	recoveredAt := time.Time{}
+	m.OnChange = func(mirrorer.Record) { recoveredAt = m.RecoveredAt() }
 	m.Apply([]mirrorer.Record{{Key: "a", Offset: 2}}, 3, at(26))
-	quicktest.Assert(t, regained, quicktest.Equals, at(26), quicktest.Commentf("known before the records count"))
+	quicktest.Assert(t, recoveredAt, quicktest.Equals, at(26), quicktest.Commentf("set before OnChange is called"))
 	m.Apply(nil, 3, at(27))
 	quicktest.Assert(t, m.RecoveredAt(), quicktest.Equals, at(26))
-	// This instance stood still, or its peers restarted: its own call is answered at once.
+	// This instance was paused, or its peers restarted, so its own calls have not failed.
 	failing = 0
 	m.Apply(nil, 3, at(37))
-	quicktest.Assert(t, m.RecoveredAt(), quicktest.Equals, at(26), quicktest.Commentf("a pause is no outage"))
+	quicktest.Assert(t, m.RecoveredAt(), quicktest.Equals, at(26), quicktest.Commentf("a pause is not an outage"))
 }
