--- a/internal/follower/doc.go
+++ b/internal/follower/doc.go
@@ -1,2 +1,3 @@
-// Package follower keeps a mirror of a keyed stream current: from peers where they are fresher, else from the store.
+// Package follower keeps a mirror of a keyed stream up to date. It reads the store only when peers have not sent fresh
+// data for a while.
 package follower
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -13,50 +13,53 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrExpired is returned by a stream whose records at the asked offset are gone.
-var ErrExpired = errors.New("records are no longer kept")
+// ErrExpired is returned by a stream that no longer retains the records at the requested offset.
+var ErrExpired = errors.New("records at this offset have expired")
 
 // Stream is a keyed stream of the store.
 type Stream interface {
-	// Newest returns the newest record of each key and the offset at which reading goes on.
+	// Newest returns the newest record of each key and the offset to continue reading from.
 	Newest(ctx context.Context) ([]mirrorer.Record, identifier.Offset, error)
-	// Read returns the records from an offset on, waiting up to wait for the first one.
+	// Read returns the records from an offset on and the offset after them; it waits up to wait for the first one.
 	Read(ctx context.Context, from identifier.Offset, wait time.Duration) ([]mirrorer.Record, identifier.Offset, error)
 }
 
 const (
-	// callTimeout bounds one call without a wait; the store answers in milliseconds when it is well.
+	// callTimeout limits one call, in addition to the wait; a healthy store answers within milliseconds.
 	callTimeout = time.Second
-	// retryPause is the pause after a failed call, so that a store in trouble is not pressed.
+	// retryPause is the pause after a failed call, which limits the load on a failing store.
 	retryPause = 400 * time.Millisecond
-	// checkPause is how often the age of the mirror is looked at.
-	checkPause = 50 * time.Millisecond
+	// checkInterval is the time between checks of the mirror's age.
+	checkInterval = 50 * time.Millisecond
 )
 
-// Follower reads a stream into a mirror; all fields must be set, but Wait.
+// Follower reads a stream into a mirror; all fields except Wait must be set.
 type Follower struct {
 	Name   string
 	Stream Stream
 	Mirror *mirrorer.Mirror
 	Logger *zap.Logger
-	// MaximumAge returns how old the mirror may grow before this instance asks the store itself.
+	// MaximumAge returns the age of the mirror at which this instance reads the store itself.
 	MaximumAge func() time.Duration
-	// Wait is how long a read may wait at the store; zero: reads return at once.
+	// Wait is how long the store may delay its answer to a read while there are no new records; zero disables waiting.
 	Wait time.Duration
 
-	// expired tells that the records after the mirror's are gone, so that only the newest of each key can be read.
+	// expired is set if the store no longer retains the records after the mirror's, so that the newest of each key must
+	// be read.
 	expired bool
-	away    bool
-	// awayAt is when the first of the calls that failed in a row was made; nil: none failed since the mirror was last fresh.
-	awayAt atomic.Pointer[time.Time]
+	// lost is set while calls fail, to log each change once.
+	lost bool
+	// failingSince is when the first of the consecutive failed calls was made; nil if none failed since the mirror was
+	// last fresh.
+	failingSince atomic.Pointer[time.Time]
 }
 
 // Run follows the stream until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if age, known := f.Mirror.Age(time.Now()); known && age < f.MaximumAge() {
-			f.awayAt.Store(nil)
-			if sleeper.Sleep(ctx, checkPause) != nil {
+			f.failingSince.Store(nil)
+			if sleeper.Sleep(ctx, checkInterval) != nil {
 				return
 			}
 			continue
@@ -67,18 +70,18 @@
 	}
 }
 
-// FailingFor returns for how long the calls have failed, if the mirror has not been fresh since.
+// FailingFor returns for how long calls have failed without the mirror becoming fresh, or zero if they have not.
 func (f *Follower) FailingFor(now time.Time) time.Duration {
-	at := f.awayAt.Load()
-	if at == nil {
+	since := f.failingSince.Load()
+	if since == nil {
 		return 0
 	}
-	return now.Sub(*at)
+	return now.Sub(*since)
 }
 
-// step makes one call to the store and applies its answer.
+// step makes one call to the store and applies the result.
 func (f *Follower) step(ctx context.Context) error {
-	asked := time.Now()
+	calledAt := time.Now()
 	whole := f.expired || f.Mirror.Next() == 0
 	records, next, err := f.call(ctx, whole)
 	if errors.Is(err, ErrExpired) && !whole {
@@ -87,27 +90,28 @@
 		return nil
 	}
 	if err != nil {
-		if !f.away && ctx.Err() == nil {
+		if !f.lost && ctx.Err() == nil {
 			f.Logger.Warn("store lost", zap.String("Stream", f.Name), zap.Error(err))
 		}
-		f.away = true
-		f.awayAt.CompareAndSwap(nil, &asked)
+		f.lost = true
+		f.failingSince.CompareAndSwap(nil, &calledAt)
 		return err
 	}
 	f.expired = false
-	if f.away {
-		f.away = false
+	if f.lost {
+		f.lost = false
 		f.Logger.Info("store regained", zap.String("Stream", f.Name))
 	}
 	if whole {
-		f.Mirror.Replace(records, next, asked)
+		f.Mirror.Replace(records, next, calledAt)
 	} else {
-		f.Mirror.Apply(records, next, asked)
+		f.Mirror.Apply(records, next, calledAt)
 	}
 	return nil
 }
 
-// call reads the newest of each key, or what came after the mirror's records, which peers may have passed on.
+// call reads the newest record of each key if whole is set, and otherwise the records after those of the mirror, some
+// of which peers may have sent.
 func (f *Follower) call(ctx context.Context, whole bool) ([]mirrorer.Record, identifier.Offset, error) {
 	wait := f.Wait
 	if _, known := f.Mirror.Age(time.Now()); !known || whole {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -21,7 +21,7 @@
 	records []mirrorer.Record
 	first   identifier.Offset
 	calls   int
-	away    bool
+	down    bool
 }
 
 func (s *stream) put(key, value string) {
@@ -30,24 +30,24 @@
 	s.records = append(s.records, mirrorer.Record{Key: key, Value: []byte(value), Offset: identifier.Offset(len(s.records))})
 }
 
-// compact drops the history; the newest record of each key stays readable.
+// compact deletes the history; Newest still returns the newest record of each key.
 func (s *stream) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.first = identifier.Offset(len(s.records))
 }
 
-func (s *stream) setAway(away bool) {
+func (s *stream) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.down = down
 }
 
 func (s *stream) Newest(context.Context) ([]mirrorer.Record, identifier.Offset, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.away {
+	if s.down {
 		return nil, 0, context.DeadlineExceeded
 	}
 	newest := map[string]mirrorer.Record{}
@@ -67,7 +67,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.away {
+	if s.down {
 		return nil, 0, context.DeadlineExceeded
 	}
 	if from < s.first {
@@ -78,7 +78,7 @@
 
 const maximumAge = 300 * time.Millisecond
 
-// follow runs a follower for some time of the test's clock while f acts, and returns its mirror.
+// follow runs a follower on a synthetic clock and calls f with its mirror after one second.
 func follow(t *testing.T, s *stream, f func(m *mirrorer.Mirror)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -106,7 +106,7 @@
 	s.put("gone", "1")
 	follow(t, s, func(m *mirrorer.Mirror) {
 		quicktest.Assert(t, value(m, "gone"), quicktest.Equals, "1")
-		// What happens in the gap is told by the newest records alone: one changed, one left without a trace.
+		// After compaction the newest records alone must show both changes: a has another value, gone is missing.
 		s.put("a", "2")
 		s.put("gone", "")
 		s.compact()
@@ -123,48 +123,48 @@
 	})
 }
 
-func TestOutageIsNotPressed(t *testing.T) {
+func TestOutageLimitsCallRate(t *testing.T) {
 	s := &stream{}
 	s.put("a", "1")
 	follow(t, s, func(m *mirrorer.Mirror) {
-		s.setAway(true)
+		s.setDown(true)
 		s.mu.Lock()
 		s.calls = 0
 		s.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		quicktest.Check(t, s.calls <= 25, quicktest.IsTrue, quicktest.Commentf("%d calls in 10 s", s.calls))
-		s.setAway(false)
+		s.setDown(false)
 		s.put("a", "2")
 		time.Sleep(time.Second)
 		quicktest.Check(t, value(m, "a"), quicktest.Equals, "2")
 	})
 }
 
-func TestCallThatFailsAloneIsNoOutage(t *testing.T) {
+func TestFailedCallsAloneAreNoOutage(t *testing.T) {
 	s := &stream{}
 	s.put("a", "1")
 	follow(t, s, func(m *mirrorer.Mirror) {
 		m.OutageThreshold = 2 * time.Second
-		s.setAway(true)
+		s.setDown(true)
 		time.Sleep(time.Second)
 		for range 50 {
 			m.Apply(nil, 1, time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
-		s.setAway(false)
+		s.setDown(false)
 		s.put("a", "")
 		time.Sleep(time.Second)
 		quicktest.Check(t, value(m, "a"), quicktest.Equals, "")
 		quicktest.Check(t, m.RecoveredAt().IsZero(), quicktest.IsTrue)
-		s.setAway(true)
+		s.setDown(true)
 		time.Sleep(4 * time.Second)
-		s.setAway(false)
+		s.setDown(false)
 		time.Sleep(time.Second)
 		quicktest.Check(t, time.Since(m.RecoveredAt()) < 2*time.Second, quicktest.IsTrue)
 	})
 }
 
-func TestPeersSpareTheStore(t *testing.T) {
+func TestFreshPeersAvoidStoreCalls(t *testing.T) {
 	s := &stream{}
 	s.put("a", "1")
 	follow(t, s, func(m *mirrorer.Mirror) {
