--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -22,7 +22,7 @@
 // status returns the current status of this instance.
 func (c *Coordinator) status(now time.Time) *gossiper.Status {
 	s := &gossiper.Status{Ready: c.Ready(), Leaving: c.leaving.Load(), UnixMilliseconds: now.UnixMilli()}
-	for id, load := range c.book.OwnLoads() {
+	for id, load := range c.targetStates.OwnLoads() {
 		s.Loads = append(s.Loads, &gossiper.Load{
 			Target: string(id), PromptTokens: uint64(max(0, load.PromptTokens)),
 			Answers: uint32(max(0, load.Answers)), AnswerTokens: uint64(max(0, load.AnswerTokens)),
@@ -84,21 +84,21 @@
 		c.sendProgress[peer.ID] = p
 	}
 	// Parts are sent once: a lost one costs at most a repeated prefill.
-	sent, next := c.book.PartsSince(p.parts.last)
+	sentParts, next := c.targetStates.PartsSince(p.parts.last)
 	p.parts.advance(next)
-	for _, s := range sent {
+	for _, s := range sentParts {
 		b.Parts = append(b.Parts, &gossiper.Part{Target: string(s.Target), Part: uint64(s.Part.ID), Tokens: uint32(s.Part.Tokens)})
 	}
-	cells, next := c.counts.ChangedSince(p.counts.previous)
+	changed, next := c.counts.ChangedSince(p.counts.previous)
 	p.counts.advance(next)
-	for _, cell := range cells {
-		b.Counts = append(b.Counts, &gossiper.Count{Incarnation: cell.Incarnation, Window: cell.Window, Team: string(cell.Team), Requests: cell.Requests})
+	for _, count := range changed {
+		b.Counts = append(b.Counts, &gossiper.Count{Incarnation: count.Incarnation, Window: count.Window, Team: string(count.Team), Requests: count.Requests})
 	}
 }
 
 // announceOrders registers this instance's pending orders and sends them to the peers.
 func (c *Coordinator) announceOrders() {
-	for _, p := range c.keeper.PendingOrders() {
+	for _, p := range c.stageController.PendingOrders() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
 	c.peers.SendNow()
@@ -124,7 +124,7 @@
 			PromptTokens: identifier.Tokens(l.PromptTokens), Answers: int(l.Answers), AnswerTokens: identifier.Tokens(l.AnswerTokens),
 		}
 	}
-	c.book.SetPeerLoads(s.Member.ID, loads, now)
+	c.targetStates.SetPeerLoads(s.Member.ID, loads, now)
 	for _, r := range s.Rates {
 		c.demand.SetPeerRate(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
 	}
@@ -140,14 +140,14 @@
 	}
 	for _, p := range b.Parts {
 		part := chooser.Part{ID: identifier.PartID(p.Part), Tokens: identifier.Tokens(p.Tokens)}
-		c.book.AddReported(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
+		c.targetStates.AddReported(chooser.CachedPart{Target: identifier.TargetID(p.Target), Part: part}, now)
 	}
 	for _, n := range b.Counts {
 		c.counts.Merge(counter.Count{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
 	}
 	for _, o := range b.Orders {
-		left := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
-		c.registry.RecordOrder(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(left))
+		remaining := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
+		c.registry.RecordOrder(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(remaining))
 	}
 	if l := b.Lease; l != nil {
 		c.elector.ReceiveHead(elector.LogHead{
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -39,11 +39,13 @@
 //
 //	store --newest, read--> followers --> mirrors (configuration, targets, members) --> table, registrar, gossiper
 //	                                        ^   |
-//	peers <-----messages (gossiper)---------+---+   loads, cached parts --> book;  counts --> counter;  lease --> elector
+//	peers <-----messages (gossiper)---------+---+   loads, cached parts --> target states
+//	                                                counts --> counter
+//	                                                lease --> elector
 //
-//	clients --> ingress --> forwarder --table, registrar, book--> chooser --> backend (targets)
-//	                            \--countRequest--> counter --lease holder--> windows --> store, platform
-//	                                                         lease holder--> keeper  --> targets
+//	clients --> ingress --> forwarder --table, registrar, target states--> chooser --> backend (targets)
+//	                            \--request counts--> counter --lease holder--> window reporter --> store, platform
+//	                                                           lease holder--> stage controller --> targets
 
 // MemberTopic is the keyed stream that holds one record for each entry instance.
 type MemberTopic interface {
@@ -87,22 +89,22 @@
 	// bounds are the bounds at the start: windows and leases must not change while the instance runs.
 	bounds parser.EntryBounds
 
-	config   mirrorer.Mirror
-	targets  mirrorer.Mirror
-	members  mirrorer.Mirror
-	table    atomic.Pointer[matcher.Table]
-	registry registrar.Registrar
-	book     chooser.TargetStates
-	demand   demander.Demand
-	counts   counter.Counter
-	budget   *retrier.WindowedBudget
-	peers    *gossiper.Gossiper
-	client   *exchanger.Client
-	elector  *elector.Elector
-	keeper   *orderkeeper.StageController
-	supplier *orderkeeper.Scaler
-	windows  *reporter.WindowReporter
-	forward  *forwarder.Forwarder
+	config          mirrorer.Mirror
+	targets         mirrorer.Mirror
+	members         mirrorer.Mirror
+	table           atomic.Pointer[matcher.Table]
+	registry        registrar.Registrar
+	targetStates    chooser.TargetStates
+	demand          demander.Demand
+	counts          counter.Counter
+	retryBudget     *retrier.WindowedBudget
+	peers           *gossiper.Gossiper
+	client          *exchanger.Client
+	elector         *elector.Elector
+	stageController *orderkeeper.StageController
+	scaler          *orderkeeper.Scaler
+	windowReporter  *reporter.WindowReporter
+	forward         *forwarder.Forwarder
 
 	// Bodies limits the memory that request bodies use.
 	Bodies forwarder.BodyBuffers
@@ -159,15 +161,15 @@
 		Holder: c.self.ID + "/" + c.self.Incarnation, Log: c.platform.Duties, Lease: bounds.Lease, Logger: c.logger,
 		Now: bootTime, Eligible: c.eligible,
 	}
-	c.supplier = &orderkeeper.Scaler{
+	c.scaler = &orderkeeper.Scaler{
 		Lease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
-	c.keeper = &orderkeeper.StageController{
-		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
+	c.stageController = &orderkeeper.StageController{
+		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.scaler.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
-	c.windows = &reporter.WindowReporter{
+	c.windowReporter = &reporter.WindowReporter{
 		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.medianTime, Total: c.counts.Total, Logger: c.logger,
 	}
@@ -175,15 +177,15 @@
 
 func (c *Coordinator) wireRequests() {
 	bounds := c.bounds
-	c.budget = &retrier.WindowedBudget{
+	c.retryBudget = &retrier.WindowedBudget{
 		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
 		MemberCount: c.instanceCount,
 	}
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
 		Targets: c.registry.Available, Expected: c.expected, Instances: c.instanceCount,
-		States: &c.book, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
-		Backend: c.platform.Backend, Budget: c.budget,
+		States: &c.targetStates, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
+		Backend: c.platform.Backend, Budget: c.retryBudget,
 		CountRequest: c.countRequest, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
 }
@@ -200,8 +202,8 @@
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
-		if left := max(0, s.Engine.SwitchTime-(orderkeeper.SettleTime-o.Remaining)); !found || left < soonest {
-			soonest, found = left, true
+		if remaining := max(0, s.Engine.SwitchTime-(orderkeeper.SettleTime-o.Remaining)); !found || remaining < soonest {
+			soonest, found = remaining, true
 		}
 	}
 	return soonest, found
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -76,11 +76,11 @@
 	}
 	group.Go(func() { c.elector.Run(duties) })
 	if !c.settings.Load().Routing.FixedStages {
-		group.Go(func() { c.keeper.Run(duties) })
+		group.Go(func() { c.stageController.Run(duties) })
 	}
 	if c.platform.Usage != nil {
-		group.Go(func() { c.windows.Run(duties) })
-		group.Go(func() { c.supplier.Run(duties) })
+		group.Go(func() { c.windowReporter.Run(duties) })
+		group.Go(func() { c.scaler.Run(duties) })
 	}
 }
 
@@ -172,7 +172,7 @@
 func (c *Coordinator) cleanUp(ctx context.Context) {
 	for sleeper.Sleep(ctx, cleanupInterval) == nil {
 		c.registry.Expire(time.Now())
-		c.book.Retain(c.registry.Targets(), time.Now())
+		c.targetStates.Retain(c.registry.Targets(), time.Now())
 		c.demand.Sample(time.Now())
 		c.updateGauges(time.Now())
 		c.counts.Prune(c.medianTime().UnixMilli() / c.bounds.UsageWindow.Milliseconds())
