--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -160,15 +160,15 @@
 		Now: bootTime, Eligible: c.eligible,
 	}
 	c.supplier = &orderkeeper.Scaler{
-		Lease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
+		DutyLease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.keeper = &orderkeeper.StageController{
-		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
+		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.supplier.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windows = &reporter.WindowReporter{
-		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
+		DutyLease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.trueTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -43,8 +43,8 @@
 	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
 
-// Lease is the lease under which orders are sent.
-type Lease interface {
+// DutyLease is the lease under which orders are sent.
+type DutyLease interface {
 	Authority() (identifier.Fence, error)
 	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 }
@@ -64,7 +64,7 @@
 // StageController keeps the stages of all model targets; exported fields must be set.
 type StageController struct {
 	Holder    string
-	Lease     Lease
+	DutyLease DutyLease
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
@@ -106,7 +106,7 @@
 // Run orders stages while the lease is held, until ctx ends.
 func (k *StageController) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, stepPause) == nil {
-		fence, err := k.Lease.Authority()
+		fence, err := k.DutyLease.Authority()
 		if err != nil || fence == k.fenced {
 			k.heldAt = time.Time{}
 			continue
@@ -209,12 +209,12 @@
 		return
 	}
 	var sent Order
-	err := k.Lease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := k.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		expected, err := k.Commander.Accepted(ctx, t)
 		if err != nil {
 			return err
 		}
-		if held, err := k.Lease.Authority(); err != nil || held != fence {
+		if held, err := k.DutyLease.Authority(); err != nil || held != fence {
 			return elector.ErrNotHolder
 		}
 		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -30,10 +30,10 @@
 
 // Scaler keeps the numbers of targets of all services that can be ordered; exported fields must be set.
 type Scaler struct {
-	Lease    Lease
-	Platform TargetPlatform
-	Table    func() *matcher.Table
-	Targets  func(service identifier.ServiceID) []*registrar.Target
+	DutyLease DutyLease
+	Platform  TargetPlatform
+	Table     func() *matcher.Table
+	Targets   func(service identifier.ServiceID) []*registrar.Target
 	// Serving returns the targets that take new work now.
 	Serving func(service identifier.ServiceID, now time.Time) []*registrar.Target
 	// Load returns the highest demand of late for a service, in engines; zero: not known yet.
@@ -65,7 +65,7 @@
 // Run orders targets while the lease is held, until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, supplyPause) == nil {
-		if _, err := s.Lease.Authority(); err != nil {
+		if _, err := s.DutyLease.Authority(); err != nil {
 			s.sent, s.leaving, s.arrival = nil, nil, arrival{}
 			continue
 		}
@@ -191,7 +191,7 @@
 	if ordered && last.count == want && time.Now().Before(last.until) {
 		return false
 	}
-	err := s.Lease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
+	err := s.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
 		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
 	})
 	if s.sent == nil {
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -146,9 +146,9 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			supplier := &orderkeeper.Scaler{Lease: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
+			supplier := &orderkeeper.Scaler{DutyLease: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
 			keeper := &orderkeeper.StageController{
-				Holder: "h", Lease: held{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: supplier.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
+				Holder: "h", DutyLease: held{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: supplier.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -36,9 +36,9 @@
 
 // WindowReporter closes usage windows in the log and reports what the log says; exported fields must be set.
 type WindowReporter struct {
-	Lease    WindowCloser
-	Platform UsagePlatform
-	Length   time.Duration
+	DutyLease WindowCloser
+	Platform  UsagePlatform
+	Length    time.Duration
 	// MaximumDelay is how long after its end a window may still be reported.
 	MaximumDelay time.Duration
 	// Now is the true time.
@@ -55,7 +55,7 @@
 	r.reported = map[int64]bool{}
 	for sleeper.Sleep(ctx, windowPause) == nil {
 		// A number that was refused once is not used again.
-		if fence, err := r.Lease.Authority(); err != nil || fence == r.fenced {
+		if fence, err := r.DutyLease.Authority(); err != nil || fence == r.fenced {
 			clear(r.reported)
 			continue
 		}
@@ -80,22 +80,22 @@
 }
 
 func (r *WindowReporter) report(ctx context.Context, window int64) {
-	figures, closed := r.Lease.Closed()[window]
+	figures, closed := r.DutyLease.Closed()[window]
 	if !closed {
 		total := r.Total(window)
 		if len(total) == 0 {
 			return
 		}
-		if err := r.Lease.Close(ctx, window, total); err != nil {
+		if err := r.DutyLease.Close(ctx, window, total); err != nil {
 			r.Logger.Info("window not closed", zap.Int64("Window", window), zap.Error(err))
 			return
 		}
-		if figures, closed = r.Lease.Closed()[window]; !closed {
+		if figures, closed = r.DutyLease.Closed()[window]; !closed {
 			return
 		}
 	}
 	var fence identifier.Fence
-	err := r.Lease.WithLease(ctx, func(ctx context.Context, f identifier.Fence) error {
+	err := r.DutyLease.WithLease(ctx, func(ctx context.Context, f identifier.Fence) error {
 		fence = f
 		return r.Platform.ReportUsage(ctx, f, window, figures)
 	})
--- a/internal/reporter/windows_test.go
+++ b/internal/reporter/windows_test.go
@@ -65,7 +65,7 @@
 		p := &platform{reports: map[int64][]elector.Figures{}}
 		count := uint64(10)
 		w := &reporter.WindowReporter{
-			Lease: d, Platform: p, Length: 5 * time.Second, MaximumDelay: 10 * time.Second, Now: time.Now, Logger: zap.NewNop(),
+			DutyLease: d, Platform: p, Length: 5 * time.Second, MaximumDelay: 10 * time.Second, Now: time.Now, Logger: zap.NewNop(),
 			Total: func(int64) map[identifier.TeamID]uint64 { return map[identifier.TeamID]uint64{"team": count} },
 		}
 		ctx, cancel := context.WithCancel(context.Background())
