--- a/internal/elector/doc.go
+++ b/internal/elector/doc.go
@@ -1,2 +1,2 @@
-// Package elector keeps who holds the fleet's duties, by a lease on a log that is appended only at its known end.
+// Package elector elects the holder of the fleet's duties by a lease in a log that accepts an append only at its expected end.
 package elector
--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -17,69 +17,71 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Errors of a log; any other error leaves open whether the record was or will be appended.
+// Errors of the elector and its log. Any other error of an append leaves open whether the record was or will be appended.
 var (
-	// ErrLogAdvanced is returned when the log does not end where the writer thought.
-	ErrLogAdvanced = errors.New("log has moved on")
-	// ErrRefused is returned when nothing was done.
+	// ErrLogAdvanced is returned when the log does not end at the offset that the writer expected.
+	ErrLogAdvanced = errors.New("log does not end at the expected offset")
+	// ErrRefused is returned when the store refused the call and changed nothing.
 	ErrRefused = errors.New("store refused the call")
-	// ErrFenced is returned by a receiver that has seen a higher fencing number, or cannot give what was asked for.
+	// ErrFenced is returned by a receiver that has seen a higher fencing number, or that cannot provide what was ordered.
 	ErrFenced = errors.New("refused by fencing number")
-	// ErrNotHolder is returned when the lease is not held, or not for long enough.
+	// ErrNotHolder is returned when this instance does not hold the lease, or holds it no longer.
 	ErrNotHolder = errors.New("duties not held")
 )
 
-// Log is a log whose records are appended only at its known end.
+// Log is a log that accepts a record only at its current end.
 type Log interface {
+	// Append adds a record if the log ends at the given offset.
 	Append(ctx context.Context, end identifier.Offset, record []byte) error
-	// Read returns the records from an offset on and the offset after them.
+	// Read returns all records starting at an offset, and the offset after the last of them.
 	Read(ctx context.Context, from identifier.Offset) ([][]byte, identifier.Offset, error)
 }
 
 const (
-	// renewalsPerLease is how often a holder renews within one lease.
+	// renewalsPerLease is the number of renewals within the duration of one lease.
 	renewalsPerLease = 3
-	// driftPart is what contenders wait beyond the lease, as a part of it, for clocks that run apart.
-	driftPart = 0.15
-	// stepPause is how often the lease is looked at.
-	stepPause = 100 * time.Millisecond
-	// sendTimeout bounds one call, so that a silent store costs less than a lease.
+	// driftFraction is the additional wait of contenders, as a fraction of the lease, to allow for clock drift.
+	driftFraction = 0.15
+	// stepInterval is the time between two checks of the lease.
+	stepInterval = 100 * time.Millisecond
+	// sendTimeout bounds one call, so that a store that does not respond delays the holder by less than a lease.
 	sendTimeout = 800 * time.Millisecond
 )
 
-// LogHead is the newest record of the log that an instance knows, and since when.
+// LogHead describes the newest record of the log that an instance knows of.
 type LogHead struct {
 	Holder string
 	Fence  identifier.Fence
 	// Next is the offset after that record.
 	Next identifier.Offset
-	// Age is how long ago it was first known to be there.
+	// Age is the time since an instance first knew of the record.
 	Age time.Duration
 }
 
 // Elector claims and renews the lease; exported fields must be set before Run.
 //
 // Authority ends one lease after the last successful claim or renewal was sent. A contender claims once it has known
-// of no newer record for a lease and the drift; the claim is appended only if the log still ends there, so a renewal
-// that was on its way either comes first and voids the claim, or is refused. Nobody gives the lease back early: the
-// next holder's first action then lies a whole lease after the last one here.
+// of no newer record for the length of a lease plus the drift allowance. The claim is appended only if the log still
+// ends there, so a renewal in flight either is appended first and invalidates the claim, or is refused. A lease is
+// never released early, so the first action of the next holder comes a whole lease after the last action of this one.
 type Elector struct {
 	Holder string
 	Log    Log
 	Lease  time.Duration
 	Logger *zap.Logger
-	// Now is a steady clock that goes on while the machine is suspended.
+	// Now is a monotonic clock that keeps running while the machine is suspended.
 	Now func() time.Duration
-	// Eligible answers whether this instance may claim a lease that ran out so long ago.
-	Eligible func(since time.Duration) bool
+	// Eligible reports whether this instance may claim a lease that has been expired for the given time.
+	Eligible func(expiredFor time.Duration) bool
 
-	mu     sync.Mutex
-	fold   Fold
-	seenAt time.Duration
-	read   bool
-	until  time.Duration
-	// heard is the offset after the newest record that a peer told of; beyond fold.Next it is not yet read.
-	heard    identifier.Offset
+	mu   sync.Mutex
+	fold Fold
+	// headSince is when this instance first knew of the newest record.
+	headSince time.Duration
+	logRead   bool
+	expiresAt time.Duration
+	// peerNext is the offset after the newest record that a peer reported; records from fold.Next on are not read yet.
+	peerNext identifier.Offset
 	fence    identifier.Fence
 	attempts uint64
 }
@@ -92,17 +94,17 @@
 }
 
 func (e *Elector) authority() (identifier.Fence, error) {
-	if e.fence == 0 || e.Now() >= e.until {
+	if e.fence == 0 || e.Now() >= e.expiresAt {
 		return 0, ErrNotHolder
 	}
 	return e.fence, nil
 }
 
-// WithLease runs send under the lease with a time limit that ends before the lease does.
+// WithLease calls send with the fencing number if the lease is held; the context of send ends before the lease does.
 func (e *Elector) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	e.mu.Lock()
 	fence, err := e.authority()
-	remaining := e.until - e.Now()
+	remaining := e.expiresAt - e.Now()
 	e.mu.Unlock()
 	if err != nil {
 		return err
@@ -113,43 +115,43 @@
 	return send(ctx, fence)
 }
 
-// Run claims and renews until ctx ends; the lease then runs out by itself.
+// Run claims and renews the lease until ctx ends; the lease then expires by itself.
 func (e *Elector) Run(ctx context.Context) {
-	for sleeper.Sleep(ctx, stepPause) == nil {
+	for sleeper.Sleep(ctx, stepInterval) == nil {
 		e.step(ctx)
 	}
 }
 
-// Head returns what this instance knows of the log, or false before it has read it.
+// Head returns the newest record that this instance knows of, or false if it has not read the log yet.
 func (e *Elector) Head() (LogHead, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return LogHead{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.heard), Age: e.Now() - e.seenAt}, e.read
+	return LogHead{Holder: e.fold.Holder, Fence: e.fold.Fence, Next: max(e.fold.Next, e.peerNext), Age: e.Now() - e.headSince}, e.logRead
 }
 
-// ReceiveHead takes what a peer knows of the log, so that contenders need not read it.
-func (e *Elector) ReceiveHead(s LogHead) {
+// ReceiveHead takes the head of the log that a peer reports, so that contenders need not read the log.
+func (e *Elector) ReceiveHead(h LogHead) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.Next <= max(e.heard, e.fold.Next) {
+	if h.Next <= max(e.peerNext, e.fold.Next) {
 		return
 	}
-	// The records themselves are read before they are needed; their being there is what counts for the lease.
-	e.heard = s.Next
-	e.seenAt = max(e.seenAt, e.Now()-s.Age)
-	if s.Fence > e.fence {
-		e.lose("superseded")
+	// For the lease it is enough to know that the records exist; their contents are read before they are needed.
+	e.peerNext = h.Next
+	e.headSince = max(e.headSince, e.Now()-h.Age)
+	if h.Fence > e.fence {
+		e.dropLease("superseded")
 	}
 }
 
-// Closed returns the closed windows that the log still holds.
+// Closed returns the closed windows that the fold still holds.
 func (e *Elector) Closed() map[int64]Figures {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.fold.Closed)
 }
 
-// Close fixes the figures of a window; it returns once the log holds figures for it.
+// Close fixes the figures of a window. After it returns without an error, the log holds figures for the window.
 func (e *Elector) Close(ctx context.Context, window int64, figures Figures) error {
 	requests := map[string]uint64{}
 	for team, n := range figures {
@@ -163,25 +165,25 @@
 func (e *Elector) step(ctx context.Context) {
 	e.mu.Lock()
 	_, err := e.authority()
-	remaining := e.until - e.Now()
-	since := e.Now() - e.seenAt - e.Lease - time.Duration(driftPart*float64(e.Lease))
-	lapsed := since > 0
-	fence, stale, read := e.fence, e.heard > e.fold.Next, e.read
+	remaining := e.expiresAt - e.Now()
+	expiredFor := e.Now() - e.headSince - e.Lease - time.Duration(driftFraction*float64(e.Lease))
+	expired := expiredFor > 0
+	fence, stale, logRead := e.fence, e.peerNext > e.fold.Next, e.logRead
 	e.mu.Unlock()
 	switch {
 	case err == nil && remaining < e.Lease-e.Lease/renewalsPerLease:
 		e.renew(ctx, fence)
-	case err == nil:
-	case !read, lapsed && stale && e.Eligible(since):
+	case err == nil: // The lease is held, and its renewal is not due yet.
+	case !logRead, expired && stale && e.Eligible(expiredFor):
 		if _, err := e.catchUp(ctx); err != nil {
-			e.Logger.Debug("duties' log not read", zap.Error(err))
+			e.Logger.Debug("cannot read the duties' log", zap.Error(err))
 		}
-	case lapsed && e.Eligible(since):
+	case expired && e.Eligible(expiredFor):
 		e.claim(ctx)
 	}
 }
 
-// catchUp reads the log up to its end and returns the records that it read.
+// catchUp reads the log to its end, applies the new records and returns them.
 func (e *Elector) catchUp(ctx context.Context) ([][]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -195,7 +197,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fold.Next != from {
-		return nil, fmt.Errorf("%w: while it was read from %d", ErrLogAdvanced, from)
+		return nil, fmt.Errorf("%w: it advanced while it was read from offset %d", ErrLogAdvanced, from)
 	}
 	for _, r := range records {
 		e.fold.Apply(r)
@@ -203,13 +205,13 @@
 	switch {
 	case e.fold.Next == 0:
 		// An empty log has no holder to wait for.
-		e.seenAt = e.Now() - 2*e.Lease
-	case !e.read, len(records) > 0 && e.fold.Next > e.heard:
-		e.seenAt = e.Now()
+		e.headSince = e.Now() - 2*e.Lease
+	case !e.logRead, len(records) > 0 && e.fold.Next > e.peerNext:
+		e.headSince = e.Now()
 	}
-	e.read = true
+	e.logRead = true
 	if e.fold.Fence > e.fence {
-		e.lose("superseded")
+		e.dropLease("superseded")
 	}
 	return records, nil
 }
@@ -226,7 +228,7 @@
 		e.Logger.Info("claim failed", zap.Uint64("End", uint64(end)), zap.Error(err))
 		return
 	}
-	e.hold(identifier.Fence(end)+1, started)
+	e.setLease(identifier.Fence(end)+1, started)
 	e.Logger.Info("duties claimed", zap.Uint64("Fence", uint64(end)+1))
 }
 
@@ -239,11 +241,11 @@
 		e.Logger.Info("renewal failed", zap.Uint64("Fence", uint64(fence)), zap.Error(err))
 		return
 	}
-	e.hold(fence, started)
+	e.setLease(fence, started)
 }
 
-// nextAttempt numbers claims and renewals: one that arrives late must not pass for a later one, whose lease would
-// count from a later instant than others saw the record.
+// nextAttempt numbers claims and renewals, so that a delayed one cannot be mistaken for a later one: the lease would
+// then be counted from a later time than that at which other instances saw the record.
 func (e *Elector) nextAttempt() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -251,7 +253,8 @@
 	return e.attempts
 }
 
-// append adds a record at the known end. After a lost answer or a moved end it reads what is there and answers by that.
+// append adds a record at the known end of the log. If the response is lost or the log has advanced, it reads the log
+// back and returns nil if the record is there.
 func (e *Elector) append(ctx context.Context, d *Duty) error {
 	record, err := proto.Marshal(d)
 	if err != nil {
@@ -266,18 +269,19 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if e.fold.Next != end {
-			return fmt.Errorf("%w: while record %d was appended", ErrLogAdvanced, end)
+			return fmt.Errorf("%w: it advanced while record %d was appended", ErrLogAdvanced, end)
 		}
 		e.fold.Apply(record)
-		e.seenAt = e.Now()
+		e.headSince = e.Now()
 		return nil
 	case errors.Is(err, ErrRefused):
 		return err
 	}
-	// The record counts as appended if it stands where it was meant to; a copy that comes later only makes others wait.
+	// The record counts as appended if it is at its intended offset; a duplicate that arrives later only makes other
+	// contenders wait.
 	records, readErr := e.catchUp(context.WithoutCancel(ctx))
 	if readErr != nil {
-		return fmt.Errorf("%w; not read back: %w", err, readErr)
+		return fmt.Errorf("%w; cannot read the log back: %w", err, readErr)
 	}
 	if len(records) == 0 || !bytes.Equal(records[0], record) {
 		return err
@@ -285,7 +289,8 @@
 	return nil
 }
 
-func (e *Elector) hold(fence identifier.Fence, started time.Duration) {
+// setLease starts or extends the lease, counted from the time at which the claim or renewal was sent.
+func (e *Elector) setLease(fence identifier.Fence, started time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	asserter.That(fence >= e.fence, asserter.FenceRises, "fence %d after %d", fence, e.fence)
@@ -293,14 +298,14 @@
 		return
 	}
 	e.fence = fence
-	e.until = started + e.Lease
+	e.expiresAt = started + e.Lease
 }
 
-// lose gives up the duties; the caller holds the lock.
-func (e *Elector) lose(reason string) {
+// dropLease ends the authority of this instance; the caller holds the lock.
+func (e *Elector) dropLease(reason string) {
 	if e.fence == 0 {
 		return
 	}
-	e.fence, e.until = 0, 0
+	e.fence, e.expiresAt = 0, 0
 	e.Logger.Info("duties lost", zap.String("Reason", reason))
 }
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -26,30 +26,31 @@
 	schedulesFlag = flag.Int("elector.schedules", 300, "number of random schedules")
 )
 
-// log is the store's log with answers that get lost, calls that are carried out late, and outages.
+// log is the store's log with lost responses, delayed calls and outages.
 type log struct {
-	mu      sync.Mutex
-	records [][]byte
-	rng     *rand.Rand
-	trouble float64
-	away    map[string]bool
+	mu           sync.Mutex
+	records      [][]byte
+	rng          *rand.Rand
+	faultRate    float64
+	disconnected map[string]bool
 }
 
-var errLost = errors.New("answer lost")
+var errLost = errors.New("response lost")
 
-// view is the log as one instance reaches it.
+// view is one instance's access to the log.
 type view struct {
 	*log
 	name string
 }
 
+// roll draws the fault of one call: 2 if the instance is disconnected, and below 1 with the probability faultRate.
 func (v view) roll() float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.away[v.name] {
+	if v.disconnected[v.name] {
 		return 2
 	}
-	return v.rng.Float64() / max(v.trouble, 1e-9)
+	return v.rng.Float64() / max(v.faultRate, 1e-9)
 }
 
 func (v view) apply(end identifier.Offset, record []byte) error {
@@ -100,10 +101,10 @@
 	return v.records[from:], identifier.Offset(len(v.records)), nil
 }
 
-// contend runs n electors under a schedule of the seed and reports what went wrong.
-func contend(t *testing.T, seed uint64, trouble float64, drift float64) (faults []string, claims int) {
+// contend runs three electors under a random schedule; it returns violated invariants and the number of claims.
+func contend(t *testing.T, seed uint64, faultRate float64, drift float64) (violations []string, claims int) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &log{rng: rand.New(rand.NewPCG(seed, 1)), trouble: trouble, away: map[string]bool{}}
+		l := &log{rng: rand.New(rand.NewPCG(seed, 1)), faultRate: faultRate, disconnected: map[string]bool{}}
 		schedule := rand.New(rand.NewPCG(seed, 2))
 		start := time.Now()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -115,7 +116,7 @@
 			e := &elector.Elector{
 				Holder: name, Log: view{l, name}, Lease: lease, Logger: zap.NewNop(),
 				Now:      func() time.Duration { return time.Duration(float64(time.Since(start)+time.Second) * rate) },
-				Eligible: func(since time.Duration) bool { return since > time.Duration(i)*700*time.Millisecond },
+				Eligible: func(expiredFor time.Duration) bool { return expiredFor > time.Duration(i)*700*time.Millisecond },
 			}
 			electors = append(electors, e)
 			group.Go(func() { e.Run(ctx) })
@@ -127,7 +128,7 @@
 			if schedule.Float64() < 0.02 {
 				l.mu.Lock()
 				name := fmt.Sprint("entry-", schedule.IntN(3))
-				l.away[name] = !l.away[name]
+				l.disconnected[name] = !l.disconnected[name]
 				l.mu.Unlock()
 			}
 			holders := 0
@@ -138,11 +139,11 @@
 				}
 				holders++
 				if by, seen := used[fence]; seen && by != i {
-					faults = append(faults, fmt.Sprintf("fence %d used by %d and %d", fence, by, i))
+					violations = append(violations, fmt.Sprintf("fence %d used by %d and %d", fence, by, i))
 				}
 				used[fence] = i
 				if fence < last {
-					faults = append(faults, fmt.Sprintf("fence %d after %d", fence, last))
+					violations = append(violations, fmt.Sprintf("fence %d after %d", fence, last))
 				}
 				last = max(last, fence)
 				if schedule.Float64() < 0.05 {
@@ -150,37 +151,37 @@
 				}
 			}
 			if holders > 1 {
-				faults = append(faults, fmt.Sprintf("%d holders", holders))
+				violations = append(violations, fmt.Sprintf("%d holders", holders))
 			}
 		}
 		cancel()
 		group.Wait()
-		// What was on its way may still come.
+		// Lets calls in flight finish.
 		time.Sleep(5 * time.Second)
 		claims = len(used)
 	})
-	return faults, claims
+	return violations, claims
 }
 
-// TestRandomSchedules claims, renews and closes while answers are lost, calls come late and instances are cut off.
+// TestRandomSchedules claims, renews and closes while responses are lost, calls are delayed and instances disconnected.
 func TestRandomSchedules(t *testing.T) {
 	total := 0
 	for i := range *schedulesFlag {
 		seed := *seedFlag + uint64(i)
-		faults, claims := contend(t, seed, 0.02+0.3*float64(i%10)/10, 0.02)
-		if len(faults) > 0 {
-			t.Fatalf("seed %d: %v", seed, faults[0])
+		violations, claims := contend(t, seed, 0.02+0.3*float64(i%10)/10, 0.02)
+		if len(violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, violations[0])
 		}
 		total += claims
 	}
 	quicktest.Assert(t, total >= *schedulesFlag, quicktest.IsTrue, quicktest.Commentf("%d claims in %d schedules", total, *schedulesFlag))
 }
 
-// lateLog loses the answer of the first append, and carries it out just before the second one.
+// lateLog loses the response to the first append and carries the append out just before the second one.
 type lateLog struct {
 	mu      sync.Mutex
 	appends int
-	held    []byte
+	delayed []byte
 	records [][]byte
 }
 
@@ -189,9 +190,9 @@
 	l.appends++
 	n := l.appends
 	if n == 1 {
-		l.held = record
+		l.delayed = record
 	} else if n == 2 {
-		l.records = append(l.records, l.held)
+		l.records = append(l.records, l.delayed)
 	}
 	l.mu.Unlock()
 	if n == 1 {
@@ -213,8 +214,9 @@
 	return l.records[from:], identifier.Offset(len(l.records)), nil
 }
 
-// TestLateClaimIsNotTheNextOne has a claim arrive just before the second try: others may have seen it long before, so
-// it must not grant a lease that counts from the second try. Random schedules from seed 100000 on found this.
+// TestLateClaimIsNotTheNextOne delays a claim until just before the second attempt. Other instances may have seen the
+// claim long before, so it must not grant a lease that counts from the second attempt. Random schedules from seed
+// 100000 on found this fault.
 func TestLateClaimIsNotTheNextOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -232,18 +234,18 @@
 		}
 		time.Sleep(3 * time.Second)
 		_, err := e.Authority()
-		quicktest.Check(t, err, quicktest.IsNil, quicktest.Commentf("its own claim, once the late one has run out"))
+		quicktest.Check(t, err, quicktest.IsNil, quicktest.Commentf("its own claim, after the delayed one has expired"))
 		cancel()
 		<-done
 	})
 }
 
-// TestDriftBeyondTheMargin shows that the schedules find two holders where clocks run apart by more than contenders allow for.
+// TestDriftBeyondTheMargin checks that the schedules find two holders if clocks drift by more than the allowance.
 func TestDriftBeyondTheMargin(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
-		faults, _ := contend(t, seed, 0.1, 0.4)
-		found += len(faults)
+		violations, _ := contend(t, seed, 0.1, 0.4)
+		found += len(violations)
 	}
 	quicktest.Assert(t, found > 0, quicktest.IsTrue)
 }
@@ -264,7 +266,7 @@
 	add(claim("one"))
 	add(claim("two"))
 	add(closing(1, 10))
-	quicktest.Assert(t, f.Closed, quicktest.HasLen, 0, quicktest.Commentf("a holder that was superseded closed a window"))
+	quicktest.Assert(t, f.Closed, quicktest.HasLen, 0, quicktest.Commentf("a superseded holder closed a window"))
 	add(closing(2, 20))
 	add(closing(2, 30))
 	quicktest.Assert(t, f.Closed[7], quicktest.DeepEquals, elector.Figures{"a": 20})
--- a/internal/elector/fold.go
+++ b/internal/elector/fold.go
@@ -9,8 +9,8 @@
 // Figures are the requests of each team in a closed usage window.
 type Figures map[identifier.TeamID]uint64
 
-// keptWindows is how many closed windows a fold remembers: some minutes at the shortest windows in use.
-const keptWindows = 64
+// maximumClosedWindows is the number of closed windows that a fold holds: some minutes of the shortest windows in use.
+const maximumClosedWindows = 64
 
 // Fold is the state of the duties' log up to an offset; the zero value is that of an empty log.
 type Fold struct {
@@ -21,7 +21,7 @@
 	Closed map[int64]Figures
 }
 
-// Apply takes the record at Next. Records that cannot be read, or whose writer was not the holder, change nothing.
+// Apply applies the record at Next. A record that cannot be decoded is ignored, as is a close by a former holder.
 func (f *Fold) Apply(record []byte) {
 	offset := f.Next
 	f.Next++
@@ -39,7 +39,7 @@
 	}
 }
 
-// close keeps the first figures of a window.
+// close adds a closed window; the first figures of a window stand.
 func (f *Fold) close(c *Close) {
 	if f.Closed == nil {
 		f.Closed = map[int64]Figures{}
@@ -52,7 +52,7 @@
 		figures[identifier.TeamID(team)] = n
 	}
 	f.Closed[c.Window] = figures
-	if len(f.Closed) > keptWindows {
+	if len(f.Closed) > maximumClosedWindows {
 		oldest := c.Window
 		for w := range f.Closed {
 			oldest = min(oldest, w)
