--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -17,7 +17,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Errors of the elector and its log. Any other error of an append leaves open whether the record was or will be appended.
+// Errors of the elector and its log. After any other error of an append, the record may have been appended or may still
+// be appended later.
 var (
 	// ErrLogAdvanced is returned when the log does not end at the offset that the writer expected.
 	ErrLogAdvanced = errors.New("log does not end at the expected offset")
--- a/internal/orderkeeper/doc.go
+++ b/internal/orderkeeper/doc.go
@@ -1,2 +1,2 @@
-// Package orderkeeper carries out the orders of the lease holder, each under its fencing number.
+// Package orderkeeper orders stages and numbers of targets for the lease holder, each order under its fencing number.
 package orderkeeper
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -17,19 +17,19 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrRejected is returned when an order was not accepted.
+// ErrRejected is returned when a target or the platform did not accept an order.
 var ErrRejected = errors.New("order rejected")
 
-// Order is a stage order to a target.
+// Order orders a target to change to a stage.
 type Order struct {
 	Stage  registrar.Stage
 	Holder string
 	Fence  identifier.Fence
-	// Expected is how many orders the target has accepted; a late copy then has no effect.
+	// Expected is the number of orders that the target has accepted so far, so that a delayed duplicate has no effect.
 	Expected uint64
 }
 
-// ScaleOrder is an order for targets of a service in an availability zone.
+// ScaleOrder orders a number of targets of a service in an availability zone.
 type ScaleOrder struct {
 	Service identifier.ServiceID
 	Zone    identifier.ZoneID
@@ -37,8 +37,9 @@
 	Cheap   bool
 }
 
-// Commander orders targets.
+// Commander sends stage orders to targets.
 type Commander interface {
+	// Accepted returns the number of orders that the target has accepted.
 	Accepted(ctx context.Context, t *registrar.Target) (uint64, error)
 	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
@@ -50,69 +51,69 @@
 }
 
 const (
-	// announceTime is what the other instances take to hear of an order.
+	// announceTime is how long it takes until the other instances know of an order.
 	announceTime = 30 * time.Millisecond
-	// stepPause is how often the fleet is looked at.
-	stepPause = 250 * time.Millisecond
-	// SettleTime is how long an ordered target has to show its new stage before it is ordered again.
+	// stepInterval is the time between two checks of the stages.
+	stepInterval = 250 * time.Millisecond
+	// SettleTime is the time that an ordered target has to report its new stage before it is ordered again.
 	SettleTime = 6 * time.Second
-	// quietTime is how long no target may have come before the first orders, so that a fleet that starts, or is heard of
-	// bit by bit, is not rearranged more than once: a fleet's entries come within one heartbeat.
+	// quietTime is how long the number of targets must be unchanged before the first orders, so that a fleet that starts,
+	// or is discovered gradually, is not rearranged more than once. All entries of a fleet arrive within one heartbeat.
 	quietTime = 700 * time.Millisecond
 )
 
-// StageController keeps the stages of all model targets; exported fields must be set.
+// StageController controls the stages of all model targets; exported fields must be set.
 type StageController struct {
 	Holder    string
 	DutyLease DutyLease
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// ScalingDown tells that targets of a service are being given back: one that answers may be among them.
+	// ScalingDown reports whether targets of a service are being released, which may include one that generates answers.
 	ScalingDown func(service identifier.ServiceID) bool
-	// Announce tells the other instances of Pending at once.
+	// Announce reports PendingOrders to the other instances at once.
 	Announce func()
 	Logger   *zap.Logger
 
-	mu      sync.Mutex
-	ordered map[identifier.TargetID]pending
-	heldAt  time.Time
-	fenced  identifier.Fence
-	arrival arrival
+	mu        sync.Mutex
+	ordered   map[identifier.TargetID]sentOrder
+	heldSince time.Time
+	fenced    identifier.Fence
+	discovery discovery
 }
 
-// pending is an order that the target's entry may not show yet.
-type pending struct {
+// sentOrder is an order that the target's published entry may not show yet.
+type sentOrder struct {
 	stage registrar.Stage
 	at    time.Time
 }
 
-// arrival tells whether the targets that were there at the start have been heard of.
-type arrival struct {
+// discovery tracks whether all targets that exist at the start are known.
+type discovery struct {
 	count     int
 	changedAt time.Time
-	over      bool
+	complete  bool
 }
 
-// done notes the number of targets and tells whether it once was the same for long enough.
-func (a *arrival) done(count int, now time.Time) bool {
-	if count != a.count {
-		a.count, a.changedAt = count, now
+// update records the number of targets and reports whether it has ever been unchanged for quietTime.
+func (d *discovery) update(count int, now time.Time) bool {
+	if count != d.count {
+		d.count, d.changedAt = count, now
 	}
-	a.over = a.over || count > 0 && now.Sub(a.changedAt) > quietTime
-	return a.over
+	d.complete = d.complete || count > 0 && now.Sub(d.changedAt) > quietTime
+	return d.complete
 }
 
-// Run orders stages while the lease is held, until ctx ends.
+// Run orders stages while the lease is held, until ctx ends. A fencing number that was refused is not used again.
 func (k *StageController) Run(ctx context.Context) {
-	for sleeper.Sleep(ctx, stepPause) == nil {
+	for sleeper.Sleep(ctx, stepInterval) == nil {
 		fence, err := k.DutyLease.Authority()
 		if err != nil || fence == k.fenced {
-			k.heldAt = time.Time{}
+			k.heldSince = time.Time{}
 			continue
 		}
-		if k.heldAt.IsZero() {
-			k.heldAt = time.Now()
+		if k.heldSince.IsZero() {
+			k.heldSince = time.Now()
 		}
 		if table := k.Table(); table != nil {
 			k.arrangeAll(ctx, table)
@@ -127,7 +128,7 @@
 			count += len(k.Targets(table.Services[i].ID))
 		}
 	}
-	if !k.arrival.done(count, time.Now()) {
+	if !k.discovery.update(count, time.Now()) {
 		return
 	}
 	for i := range table.Services {
@@ -137,7 +138,7 @@
 	}
 }
 
-// arrange orders the stages of one service's targets.
+// arrange orders the stage changes of one service's targets.
 func (k *StageController) arrange(ctx context.Context, s *matcher.Service) {
 	targets := k.Targets(s.ID)
 	byID := map[identifier.TargetID]*registrar.Target{}
@@ -148,7 +149,7 @@
 		}
 		byID[t.ID] = t
 		e := placer.StageEngine{ID: t.ID, Zone: t.Zone, Stage: t.Stage, Cheap: t.Cheap}
-		// The order counts as carried out until the entry has had time to show it.
+		// An order counts as carried out while the target still has time to report its new stage.
 		if p, ordered := k.settling(t.ID); ordered {
 			e.Stage, e.Busy = p.stage, true
 		}
@@ -167,14 +168,14 @@
 	group.Wait()
 }
 
-// PendingOrder is an order that was sent lately.
+// PendingOrder is an order sent within the last SettleTime.
 type PendingOrder struct {
 	Target identifier.TargetID
 	Stage  registrar.Stage
 	Age    time.Duration
 }
 
-// PendingOrders returns the orders that the targets' entries may not show yet.
+// PendingOrders returns the orders that the targets' published entries may not show yet.
 func (k *StageController) PendingOrders() []PendingOrder {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -187,8 +188,8 @@
 	return list
 }
 
-// settling returns a target's order if it was sent lately.
-func (k *StageController) settling(id identifier.TargetID) (pending, bool) {
+// settling returns the order of a target if it was sent within the last SettleTime.
+func (k *StageController) settling(id identifier.TargetID) (sentOrder, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	p, ok := k.ordered[id]
@@ -198,12 +199,12 @@
 func (k *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
 	k.mu.Lock()
 	if k.ordered == nil {
-		k.ordered = map[identifier.TargetID]pending{}
+		k.ordered = map[identifier.TargetID]sentOrder{}
 	}
-	maps.DeleteFunc(k.ordered, func(_ identifier.TargetID, p pending) bool { return time.Since(p.at) > SettleTime })
-	k.ordered[t.ID] = pending{stage, time.Now()}
+	maps.DeleteFunc(k.ordered, func(_ identifier.TargetID, p sentOrder) bool { return time.Since(p.at) > SettleTime })
+	k.ordered[t.ID] = sentOrder{stage, time.Now()}
 	k.mu.Unlock()
-	// All instances stop using the target before it refuses their requests.
+	// All instances must stop using the target before it begins to refuse their requests.
 	k.Announce()
 	if sleeper.Sleep(ctx, announceTime) != nil {
 		return
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -14,59 +14,59 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// TargetPlatform takes orders for targets.
+// TargetPlatform accepts orders for numbers of targets.
 type TargetPlatform interface {
 	OrderTargets(ctx context.Context, fence identifier.Fence, o ScaleOrder) error
 }
 
 const (
-	// supplyPause is how often the numbers of targets are looked at.
-	supplyPause = 500 * time.Millisecond
-	// arrivalSlack is what ordered targets may take to be seen, beyond their boot.
+	// scaleInterval is the time between two checks of the numbers of targets.
+	scaleInterval = 500 * time.Millisecond
+	// arrivalSlack is the time that ordered targets may take to become known, beyond their boot time.
 	arrivalSlack = 3 * time.Second
-	// refusedPause is how long an order is not repeated where nothing was to be had.
+	// refusedPause is how long an order is not repeated after it was refused, as when no target is available.
 	refusedPause = 2 * time.Second
 )
 
-// Scaler keeps the numbers of targets of all services that can be ordered; exported fields must be set.
+// Scaler controls the number of targets of each service that can be scaled; exported fields must be set.
 type Scaler struct {
 	DutyLease DutyLease
 	Platform  TargetPlatform
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// Serving returns the targets that take new work now.
+	// Serving returns the targets that accept new requests at the given time.
 	Serving func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	// Load returns the highest demand of late for a service, in engines; zero: not known yet.
+	// Load returns the highest recent demand for a service, in engines; zero if it is not known yet.
 	Load   func(service identifier.ServiceID) float64
 	Logger *zap.Logger
 
 	mu sync.Mutex
-	// shrinking are the services of which targets are being given back.
-	shrinking map[identifier.ServiceID]bool
-	sent      map[lot]standing
-	// leaving are the lots of which targets were given back that are still there.
-	leaving map[lot]standing
-	arrival arrival
+	// scalingDown holds the services whose targets are being released.
+	scalingDown map[identifier.ServiceID]bool
+	sent        map[pool]lastOrder
+	// releasing holds the last release order of each pool that still has the released targets.
+	releasing map[pool]lastOrder
+	discovery discovery
 }
 
-// lot is one kind of target in one availability zone.
-type lot struct {
+// pool is the regular or the cheap targets of a service in one availability zone.
+type pool struct {
 	service identifier.ServiceID
 	zone    identifier.ZoneID
 	cheap   bool
 }
 
-// standing is the last order for a lot.
-type standing struct {
+// lastOrder is the last order for a pool; the same order is not repeated before until.
+type lastOrder struct {
 	count int
 	until time.Time
 }
 
-// Run orders targets while the lease is held, until ctx ends.
+// Run orders and releases targets while the lease is held, until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
-	for sleeper.Sleep(ctx, supplyPause) == nil {
+	for sleeper.Sleep(ctx, scaleInterval) == nil {
 		if _, err := s.DutyLease.Authority(); err != nil {
-			s.sent, s.leaving, s.arrival = nil, nil, arrival{}
+			s.sent, s.releasing, s.discovery = nil, nil, discovery{}
 			continue
 		}
 		table := s.Table()
@@ -75,16 +75,16 @@
 		}
 		for i := range table.Services {
 			if service := &table.Services[i]; service.Scaling != nil {
-				s.supply(ctx, service)
+				s.scale(ctx, service)
 			}
 		}
 	}
 }
 
-// supply orders what one service lacks, or has too many of.
-func (s *Scaler) supply(ctx context.Context, service *matcher.Service) {
+// scale orders the targets that one service lacks, and releases surplus ones.
+func (s *Scaler) scale(ctx context.Context, service *matcher.Service) {
 	targets := s.Targets(service.ID)
-	settled := s.arrival.done(len(targets), time.Now())
+	discovered := s.discovery.update(len(targets), time.Now())
 	fleet := map[identifier.ZoneID]placer.ZoneFleet{}
 	for zone := range service.Scaling.Prices {
 		fleet[zone] = placer.ZoneFleet{Zone: zone}
@@ -106,62 +106,62 @@
 	for _, z := range fleet {
 		situation.Zones = append(situation.Zones, z)
 	}
-	shrinking := false
+	scalingDown := false
 	for _, w := range placer.PlanFleet(situation) {
 		have := fleet[w.Zone]
-		shrinking = shrinking || w.Cheap < have.Cheap || settled && w.Regular < have.Regular
-		s.change(ctx, service, lot{service.ID, w.Zone, true}, have.Cheap, w.Cheap)
-		// Nothing is given back, and nothing dear ordered, before it is known what is there.
-		if settled {
-			s.change(ctx, service, lot{service.ID, w.Zone, false}, have.Regular, w.Regular)
+		scalingDown = scalingDown || w.Cheap < have.Cheap || discovered && w.Regular < have.Regular
+		s.change(ctx, service, pool{service.ID, w.Zone, true}, have.Cheap, w.Cheap)
+		// No regular target is ordered or released before all existing targets are known.
+		if discovered {
+			s.change(ctx, service, pool{service.ID, w.Zone, false}, have.Regular, w.Regular)
 		}
 	}
-	s.setShrinking(service.ID, shrinking)
-	for l, o := range s.leaving {
-		if have := fleet[l.zone]; l.service == service.ID && (count(have, l.cheap) <= o.count || time.Now().After(o.until)) {
-			delete(s.leaving, l)
+	s.setScalingDown(service.ID, scalingDown)
+	for p, o := range s.releasing {
+		if have := fleet[p.zone]; p.service == service.ID && (count(have, p.cheap) <= o.count || time.Now().After(o.until)) {
+			delete(s.releasing, p)
 		}
 	}
 }
 
-// change orders more at once. It gives back in one zone at a time, so that targets for answers stay: the platform chooses
-// which targets leave, and others take a change of stage to replace them.
-func (s *Scaler) change(ctx context.Context, service *matcher.Service, l lot, have, want int) {
+// change orders additional targets at once, but releases targets in one zone at a time, so that some that generate
+// answers remain: the platform chooses which targets leave, and replacing them takes a change of stage.
+func (s *Scaler) change(ctx context.Context, service *matcher.Service, p pool, have, want int) {
 	if want < have {
-		if len(s.leaving) > 0 {
+		if len(s.releasing) > 0 {
 			return
 		}
-		most := have - want
+		released := have - want
 		if service.Engine != nil {
-			most = min(most, placer.MaximumWithdrawals(s.answering(service.ID), l.zone, len(s.Targets(service.ID))))
+			released = min(released, placer.MaximumWithdrawals(s.answering(service.ID), p.zone, len(s.Targets(service.ID))))
 		}
-		if most == 0 {
+		if released == 0 {
 			return
 		}
-		want = have - most
+		want = have - released
 	}
-	if s.order(ctx, service, l, have, want) && want < have {
-		if s.leaving == nil {
-			s.leaving = map[lot]standing{}
+	if s.order(ctx, service, p, have, want) && want < have {
+		if s.releasing == nil {
+			s.releasing = map[pool]lastOrder{}
 		}
-		s.leaving[l] = s.sent[l]
+		s.releasing[p] = s.sent[p]
 	}
 }
 
-// ScalingDown tells that targets of a service are being given back.
+// ScalingDown reports whether targets of a service are being released.
 func (s *Scaler) ScalingDown(service identifier.ServiceID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shrinking[service]
+	return s.scalingDown[service]
 }
 
-func (s *Scaler) setShrinking(service identifier.ServiceID, shrinking bool) {
+func (s *Scaler) setScalingDown(service identifier.ServiceID, scalingDown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.shrinking == nil {
-		s.shrinking = map[identifier.ServiceID]bool{}
+	if s.scalingDown == nil {
+		s.scalingDown = map[identifier.ServiceID]bool{}
 	}
-	s.shrinking[service] = shrinking
+	s.scalingDown[service] = scalingDown
 }
 
 func count(z placer.ZoneFleet, cheap bool) int {
@@ -171,7 +171,7 @@
 	return z.Regular
 }
 
-// answering counts the targets that take answers in each zone.
+// answering counts the targets that generate answers, by zone.
 func (s *Scaler) answering(service identifier.ServiceID) map[identifier.ZoneID]int {
 	zones := map[identifier.ZoneID]int{}
 	for _, t := range s.Serving(service, time.Now()) {
@@ -182,9 +182,10 @@
 	return zones
 }
 
-// order sends an order unless the same one stands and may still be on its way, and reports whether it was accepted.
-func (s *Scaler) order(ctx context.Context, service *matcher.Service, l lot, have, want int) bool {
-	last, ordered := s.sent[l]
+// order sends an order unless the same one was sent and may still take effect. It reports whether the platform accepted
+// the order.
+func (s *Scaler) order(ctx context.Context, service *matcher.Service, p pool, have, want int) bool {
+	last, ordered := s.sent[p]
 	if have == want && (!ordered || last.count == want) {
 		return false
 	}
@@ -192,17 +193,17 @@
 		return false
 	}
 	err := s.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
-		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: l.service, Zone: l.zone, Count: want, Cheap: l.cheap})
+		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: p.service, Zone: p.zone, Count: want, Cheap: p.cheap})
 	})
 	if s.sent == nil {
-		s.sent = map[lot]standing{}
+		s.sent = map[pool]lastOrder{}
 	}
 	wait := service.Scaling.BootTime + arrivalSlack
 	if err != nil {
 		wait = refusedPause
 	}
-	s.sent[l] = standing{want, time.Now().Add(wait)}
-	s.Logger.Info("targets ordered", zap.String("Service", string(l.service)), zap.String("Zone", string(l.zone)),
-		zap.Bool("Cheap", l.cheap), zap.Int("Have", have), zap.Int("Want", want), zap.Error(err))
+	s.sent[p] = lastOrder{want, time.Now().Add(wait)}
+	s.Logger.Info("targets ordered", zap.String("Service", string(p.service)), zap.String("Zone", string(p.zone)),
+		zap.Bool("Cheap", p.cheap), zap.Int("Have", have), zap.Int("Want", want), zap.Error(err))
 	return err == nil
 }
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// boot and change are the times of the users' engines; heard is what an entry takes to be seen.
-	boot   = 4 * time.Second
-	change = 3 * time.Second
-	heard  = 1200 * time.Millisecond
+	// boot and change are the times that the users' engines take; entryDelay is the time until an entry becomes known.
+	boot       = 4 * time.Second
+	change     = 3 * time.Second
+	entryDelay = 1200 * time.Millisecond
 )
 
-// held is a lease that is always held.
-type held struct{}
+// fakeLease is a lease that is always held.
+type fakeLease struct{}
 
-func (held) Authority() (identifier.Fence, error) { return 7, nil }
+func (fakeLease) Authority() (identifier.Fence, error) { return 7, nil }
 
-func (held) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
+func (fakeLease) WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error {
 	return send(ctx, 7)
 }
 
-// fleet stands in for the platform and its engines: those given back leave at once, the newest that answer first.
+// fleet fakes the platform and its engines. Released engines leave after entryDelay, those that generate answers first.
 type fleet struct {
 	mu      sync.Mutex
 	targets []*registrar.Target
@@ -52,29 +52,29 @@
 func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.ScaleOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var lot []*registrar.Target
+	var pool []*registrar.Target
 	for _, t := range f.targets {
 		if t.Zone == o.Zone && t.Cheap == o.Cheap {
-			lot = append(lot, t)
+			pool = append(pool, t)
 		}
 	}
-	for range o.Count - len(lot) {
+	for range o.Count - len(pool) {
 		time.AfterFunc(boot, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.add(o.Zone, o.Cheap, registrar.DecodeStage)
 		})
 	}
-	slices.SortStableFunc(lot, func(a, b *registrar.Target) int { return int(b.Stage) - int(a.Stage) })
-	for len(lot) > o.Count {
-		f.remove(lot[0].ID)
-		lot = lot[1:]
+	slices.SortStableFunc(pool, func(a, b *registrar.Target) int { return int(b.Stage) - int(a.Stage) })
+	for len(pool) > o.Count {
+		f.remove(pool[0].ID)
+		pool = pool[1:]
 	}
 	return nil
 }
 
 func (f *fleet) remove(id identifier.TargetID) {
-	time.AfterFunc(heard, func() {
+	time.AfterFunc(entryDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.targets = slices.DeleteFunc(f.targets, func(t *registrar.Target) bool { return t.ID == id })
@@ -124,8 +124,8 @@
 	return n
 }
 
-// TestGivingBackLeavesTargetsForAnswers answers a load that falls: engines are given back in every zone while the
-// platform takes those that answer first.
+// TestGivingBackLeavesTargetsForAnswers checks that some engine always generates answers while the load falls: engines
+// are released in every zone, and the platform stops those that generate answers first.
 func TestGivingBackLeavesTargetsForAnswers(t *testing.T) {
 	for _, zones := range [][]identifier.ZoneID{{"a", "b", "c", "d"}, {"a", "b"}, {"a"}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -146,21 +146,21 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			supplier := &orderkeeper.Scaler{DutyLease: held{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
-			keeper := &orderkeeper.StageController{
-				Holder: "h", DutyLease: held{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: supplier.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
+			scaler := &orderkeeper.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
+			controller := &orderkeeper.StageController{
+				Holder: "h", DutyLease: fakeLease{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: scaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
-			group.Go(func() { keeper.Run(ctx) })
-			group.Go(func() { supplier.Run(ctx) })
+			group.Go(func() { controller.Run(ctx) })
+			group.Go(func() { scaler.Run(ctx) })
 			for range 600 {
 				time.Sleep(100 * time.Millisecond)
-				quicktest.Assert(t, f.answering() > 0, quicktest.IsTrue, quicktest.Commentf("%d zones: nothing answers", len(zones)))
+				quicktest.Assert(t, f.answering() > 0, quicktest.IsTrue, quicktest.Commentf("%d zones: no engine generates answers", len(zones)))
 			}
 			cancel()
 			group.Wait()
-			time.Sleep(10 * time.Second) // Timers of the fleet end.
+			time.Sleep(10 * time.Second) // The fleet's timers expire.
 			quicktest.Check(t, len(f.list("s")) <= 2*len(zones), quicktest.IsTrue, quicktest.Commentf("%d zones: %d engines left", len(zones), len(f.list("s"))))
 		})
 	}
