--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -23,29 +23,30 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrIntentVoid is returned when the log did not accept an intent, because the lease was lost or the target has an open order.
+// ErrIntentVoid is returned when the fold did not accept an intent, for example because the lease was lost or the target
+// has an open order.
 var ErrIntentVoid = errors.New("intent is void")
 
-// ErrTargetRefused is returned when a target did not carry out an order.
+// ErrTargetRefused is returned when a target is unknown or refused an order.
 var ErrTargetRefused = errors.New("target refused the order")
 
-// Authority runs sends under a lease.
+// Authority grants and checks the lease under which orders are sent.
 type Authority interface {
 	Authority() (identifier.Fence, time.Duration, error)
 	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
 }
 
-// Platform takes target orders.
+// Platform accepts target orders.
 type Platform interface {
 	OrderTarget(ctx context.Context, order provider.TargetOrder) (provider.GrantedTarget, error)
 }
 
 const (
-	maximumAnswerBytes = 64 << 10
-	statePoll          = 100 * time.Millisecond
+	maximumResponseBytes = 64 << 10
+	statePollInterval    = 100 * time.Millisecond
 )
 
-// Orderer records the intent of each order, sends it, and records its outcome; all exported fields must be set.
+// Orderer records the intent of each order, sends the order and records its outcome; all exported fields must be set.
 type Orderer struct {
 	Scope     string
 	Sender    string
@@ -55,24 +56,25 @@
 	Platform  Platform
 	HTTP      *http.Client
 	Timeout   time.Duration
-	// DrainNotice is how long to wait until every entry has read an intent.
+	// DrainNotice is how long a drain lasts at least, so that every entry instance has read the intent.
 	DrainNotice time.Duration
 	Address     func(identifier.TargetID) (string, bool)
 	Logger      *zap.Logger
 }
 
-// RaiseFence tells every target that checks fencing numbers of the current one, so that older orders have no effect.
+// RaiseFence sends the current fencing number to the given targets, which must check it, so that older orders have no
+// effect. It tries all targets and returns the last error.
 func (o *Orderer) RaiseFence(ctx context.Context, fence identifier.Fence, targets []identifier.TargetID) error {
-	var failed error
+	var lastErr error
 	for _, id := range targets {
 		if _, err := o.send(ctx, fence, &recorder.Order{Target: string(id)}); err != nil {
-			failed = fmt.Errorf("raise fence at %s: %w", id, err)
+			lastErr = fmt.Errorf("raise fence at %s: %w", id, err)
 		}
 	}
-	return failed
+	return lastErr
 }
 
-// OpenOrders returns the orders whose outcome is not recorded, those of earlier holders among them.
+// OpenOrders returns the orders without a recorded outcome, including those of earlier holders.
 func (o *Orderer) OpenOrders() []*recorder.Order {
 	var open []*recorder.Order
 	o.Control.Query(func() {
@@ -94,7 +96,7 @@
 	return o.finish(ctx, fence, order)
 }
 
-// Order records and carries out one order; its ID and fencing number are set here.
+// Order records and carries out one order; it sets the order's ID and fencing number.
 func (o *Orderer) Order(ctx context.Context, order *recorder.Order) error {
 	fence, _, err := o.Authority.Authority()
 	if err != nil {
@@ -122,7 +124,7 @@
 	return o.finish(ctx, fence, accepted)
 }
 
-// assertOnlyOpen checks that no other order to the target is open.
+// assertOnlyOpen asserts that no other order to the target is open.
 func (o *Orderer) assertOnlyOpen(order *recorder.Order) {
 	o.Control.Query(func() {
 		for _, other := range o.Fold.Orders() {
@@ -132,7 +134,8 @@
 	})
 }
 
-// finish carries out an order until its outcome is known from the target itself, and records it; a refusal is returned too.
+// finish carries out an order until the target itself confirms the outcome, and records the outcome. It also returns a
+// refusal.
 func (o *Orderer) finish(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
 	outcome := &recorder.Outcome{Scope: o.Scope, Fence: uint64(fence), OrderID: order.ID, Status: recorder.OrderStatus_Done}
 	granted, err := o.carryOut(ctx, fence, order)
@@ -145,13 +148,13 @@
 	outcome.Target = granted
 	r := o.Control.NewRecord()
 	r.Body = &recorder.Record_Outcome{Outcome: outcome}
-	if appended := o.append(ctx, r); appended != nil {
-		return appended
+	if appendErr := o.append(ctx, r); appendErr != nil {
+		return appendErr
 	}
 	return err
 }
 
-// carryOut drains a target, sends the order and waits until it is done; it returns the target that came of it.
+// carryOut drains the target, sends the order and waits until it is done. It returns the acquired target, if any.
 func (o *Orderer) carryOut(ctx context.Context, fence identifier.Fence, order *recorder.Order) (*recorder.Target, error) {
 	if err := o.awaitDrained(ctx, fence, order); err != nil {
 		return nil, err
@@ -176,7 +179,7 @@
 	return err
 }
 
-// send checks the lease directly before the order goes out and ends the call before the lease does.
+// send checks the lease directly before it sends the order, and ends the call before the lease ends.
 func (o *Orderer) send(ctx context.Context, fence identifier.Fence, order *recorder.Order) (*recorder.Target, error) {
 	var granted *recorder.Target
 	err := o.Authority.WithLease(ctx, fence, o.Timeout, func(ctx context.Context) error {
@@ -201,8 +204,8 @@
 	}
 }
 
-// awaitDrained waits until the target of a role order or of one that is given back has no work left.
-// Every entry stops sending it work as soon as it reads the intent.
+// awaitDrained waits until a target that changes its role or is released has no requests left. Every entry instance stops
+// sending requests to it as soon as it reads the intent.
 func (o *Orderer) awaitDrained(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
 	if order.Kind == recorder.OrderKind_Acquire {
 		return nil
@@ -233,7 +236,7 @@
 	})
 }
 
-// poll asks a target for its state, under the lease, until done says so.
+// poll requests a target's state under the lease until done returns true or an error.
 func (o *Orderer) poll(ctx context.Context, fence identifier.Fence, order *recorder.Order, done func(chatter.EngineState) (bool, error)) error {
 	for {
 		var state chatter.EngineState
@@ -247,7 +250,7 @@
 		if finished || err != nil {
 			return err
 		}
-		if err := sleeper.Sleep(ctx, statePoll); err != nil {
+		if err := sleeper.Sleep(ctx, statePollInterval); err != nil {
 			return err
 		}
 	}
@@ -275,7 +278,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
 		return err
 	}
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -48,7 +48,7 @@
 	return provider.Page{Offset: from, End: identifier.Offset(len(l.records)), Records: l.records[from:]}, nil
 }
 
-// authority passes its check and then holds each send back until the gate opens, as a paused process would.
+// authority passes the lease check and then blocks each send until the gate opens, like a paused process.
 type authority struct {
 	fence identifier.Fence
 	gate  chan struct{}
@@ -65,7 +65,7 @@
 	return send(ctx)
 }
 
-// fixture is an engine and a log with the leases of two holders, of which the first was deposed.
+// fixture is an engine and a log with the leases of two holders, the first of which is superseded.
 type fixture struct {
 	engine *imitator.Engine
 	log    memoryLog
@@ -104,8 +104,9 @@
 	return &recorder.Order{Kind: recorder.OrderKind_Assign, Target: "t", Role: role, ChecksFence: checks}
 }
 
-// lateOrder lets a first holder record an order and pause before it is sent, a second one take over and
-// finish what it inherited, and the first one then send after all. It returns what the engine saw.
+// lateOrder runs a first holder that records an order and pauses before sending it, then a second holder that takes over
+// and, if inherit is set, completes the open order, and finally lets the first holder send its order. It returns the
+// engine's statistics.
 func lateOrder(t *testing.T, engineChecks, declaredChecks, inherit bool) imitator.EngineVerdict {
 	f := newFixture(t, engineChecks)
 	f.claim(t, "first", 0)
@@ -138,10 +139,10 @@
 		engineChecks, declaredChecks, inherit bool
 		conflicts                             int
 	}{
-		"engine that checks":                            {true, true, true, 0},
-		"engine that checks, open order not inherited":  {true, true, false, 0},
-		"engine that does not check, one order in life": {false, false, true, 0},
-		"engine that does not check, taken for one":     {false, true, true, 1},
+		"engine that checks":                               {true, true, true, 0},
+		"engine that checks, open order not inherited":     {true, true, false, 0},
+		"engine that does not check, limited to one order": {false, false, true, 0},
+		"engine that does not check, declared as checking": {false, true, true, 1},
 	} {
 		v := lateOrder(t, tc.engineChecks, tc.declaredChecks, tc.inherit)
 		quicktest.Check(t, v.ConflictingOrders > 0, quicktest.Equals, tc.conflicts > 0, quicktest.Commentf("%s: %+v", name, v))
@@ -168,22 +169,22 @@
 	quicktest.Check(t, o.OpenOrders(), quicktest.HasLen, 0)
 }
 
-// forgetful is a platform whose first answers are lost although the orders take effect.
-type forgetful struct {
-	platform *imitator.Platform
-	lose     int
-	ids      map[string]bool
+// lossyPlatform is a platform whose first responses are lost although the orders take effect.
+type lossyPlatform struct {
+	platform        *imitator.Platform
+	responsesToLose int
+	ids             map[string]bool
 }
 
-func (p *forgetful) OrderTarget(_ context.Context, order provider.TargetOrder) (provider.GrantedTarget, error) {
+func (p *lossyPlatform) OrderTarget(_ context.Context, order provider.TargetOrder) (provider.GrantedTarget, error) {
 	p.ids[order.OrderID] = true
 	body, _ := json.Marshal(order)
 	w := httptest.NewRecorder()
 	p.platform.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/targets", bytes.NewReader(body)))
 	var granted provider.GrantedTarget
 	json.Unmarshal(w.Body.Bytes(), &granted)
-	if p.lose > 0 {
-		p.lose--
+	if p.responsesToLose > 0 {
+		p.responsesToLose--
 		return provider.GrantedTarget{}, provider.ErrUnavailable
 	}
 	return granted, nil
@@ -193,7 +194,7 @@
 	f := newFixture(t, true)
 	f.claim(t, "first", 0)
 	pool := []provider.GrantedTarget{{ID: "a", Zone: "z", Model: "m"}, {ID: "b", Zone: "z", Model: "m"}}
-	platform := &forgetful{platform: &imitator.Platform{Pool: pool}, lose: 2, ids: map[string]bool{}}
+	platform := &lossyPlatform{platform: &imitator.Platform{Pool: pool}, responsesToLose: 2, ids: map[string]bool{}}
 	o := f.orderer(t, &authority{fence: 1})
 	o.Platform = platform
 	order := &recorder.Order{Kind: recorder.OrderKind_Acquire, Target: "new/m/z", Zone: "z", Model: "m", ChecksFence: true}
