--- a/internal/reporter/doc.go
+++ b/internal/reporter/doc.go
@@ -1,2 +1,2 @@
-// Package reporter closes usage windows and reports each once, under the lease.
+// Package reporter closes usage windows and reports each of them once, under the lease.
 package reporter
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -16,19 +16,20 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-const keptWindows = 1024
+// maximumSentWindows bounds the memory of sent windows, which only serves an assertion.
+const maximumSentWindows = 1024
 
-// Authority runs sends under a lease.
+// Authority checks the lease under which reports are sent.
 type Authority interface {
 	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
 }
 
-// Platform takes usage reports.
+// Platform accepts usage reports.
 type Platform interface {
 	SendReport(ctx context.Context, report provider.Report) error
 }
 
-// Reporter closes windows and reports them; all exported fields must be set.
+// Reporter closes usage windows and reports them; all exported fields must be set.
 type Reporter struct {
 	Sender    string
 	Authority Authority
@@ -50,7 +51,7 @@
 	return p.append(ctx, r)
 }
 
-// Report sends every closed window that is not yet reported, oldest first.
+// Report sends every closed window that has not been reported yet, oldest first.
 func (p *Reporter) Report(ctx context.Context, fence identifier.Fence) error {
 	var windows []*recorder.Window
 	p.Usage.Query(func() { windows = p.Fold.Unreported() })
@@ -80,12 +81,12 @@
 	return nil
 }
 
-// assertSame checks that a window is sent with the figures of earlier tries.
+// assertSame asserts that a window is sent with the same figures as in earlier attempts.
 func (p *Reporter) assertSame(w *recorder.Window) {
 	if sent := p.sent[w.Number]; sent != nil {
 		asserter.That(slices.Equal(figures(sent), figures(w)), asserter.SameFiguresPerWindow, "window %d", w.Number)
 	}
-	if p.sent == nil || len(p.sent) > keptWindows {
+	if p.sent == nil || len(p.sent) > maximumSentWindows {
 		p.sent = map[uint64]*recorder.Window{}
 	}
 	p.sent[w.Number] = w
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -21,7 +21,7 @@
 	return &recorder.Record{Body: &recorder.Record_UsageDelta{UsageDelta: d}}
 }
 
-// report hands in the figures of window 0 and returns the platform's count of wrong reports.
+// report sends the figures of window 0 and returns the platform's count of wrong reports.
 func report(platform *imitator.Platform, teams []*recorder.TeamUsage) int {
 	r := provider.Report{Fence: 1}
 	for _, u := range teams {
@@ -32,8 +32,8 @@
 	return platform.Verdict().WrongReports
 }
 
-// TestTwoReportersSendTheSameFigures lets two processes that have read differently far report one window:
-// from what each has folded so far, and from what the close record fixed.
+// TestTwoReportersSendTheSameFigures lets two processes that have read the log up to different offsets report one window.
+// Their reports differ if each sends its own totals, and agree if both send the figures of the close record.
 func TestTwoReportersSendTheSameFigures(t *testing.T) {
 	records := []*recorder.Record{
 		usage(3), usage(5),
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// windowPause is how often windows are looked at.
-	windowPause = 250 * time.Millisecond
-	// gatherTime is how long after its end a window is closed: peers tell their counts within a few beats.
-	gatherTime = 2500 * time.Millisecond
-	// reportedKept is how many windows are remembered as reported.
-	reportedKept = 32
+	// windowInterval is the time between two checks for windows to close or report.
+	windowInterval = 250 * time.Millisecond
+	// closeDelay is the time from the end of a window until it is closed: peers send their counts within a few beats.
+	closeDelay = 2500 * time.Millisecond
+	// maximumReportedWindows is the number of windows that are remembered as reported.
+	maximumReportedWindows = 32
 )
 
-// WindowCloser fixes figures under the lease.
+// WindowCloser fixes the figures of windows under the lease.
 type WindowCloser interface {
 	Authority() (identifier.Fence, error)
 	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
@@ -29,20 +29,21 @@
 	Closed() map[int64]elector.Figures
 }
 
-// UsagePlatform takes the figures of a window.
+// UsagePlatform accepts the figures of a window.
 type UsagePlatform interface {
 	ReportUsage(ctx context.Context, fence identifier.Fence, window int64, figures elector.Figures) error
 }
 
-// WindowReporter closes usage windows in the log and reports what the log says; exported fields must be set.
+// WindowReporter closes usage windows in the log and reports the figures in the log; exported fields must be set.
 type WindowReporter struct {
 	DutyLease WindowCloser
 	Platform  UsagePlatform
 	Length    time.Duration
-	// MaximumDelay is how long after its end a window may still be reported.
+	// MaximumDelay is the time after its end within which a window may still be reported.
 	MaximumDelay time.Duration
-	// Now is the true time.
-	Now    func() time.Time
+	// Now returns the time of day as the fleet agrees on it.
+	Now func() time.Time
+	// Total returns the requests of each team in a window so far.
 	Total  func(window int64) map[identifier.TeamID]uint64
 	Logger *zap.Logger
 
@@ -53,8 +54,8 @@
 // Run closes and reports windows while the lease is held, until ctx ends.
 func (r *WindowReporter) Run(ctx context.Context) {
 	r.reported = map[int64]bool{}
-	for sleeper.Sleep(ctx, windowPause) == nil {
-		// A number that was refused once is not used again.
+	for sleeper.Sleep(ctx, windowInterval) == nil {
+		// A fencing number that was refused is not used again.
 		if fence, err := r.DutyLease.Authority(); err != nil || fence == r.fenced {
 			clear(r.reported)
 			continue
@@ -65,7 +66,7 @@
 
 func (r *WindowReporter) step(ctx context.Context) {
 	now := r.Now()
-	newest := now.Add(-gatherTime).UnixMilli()/r.Length.Milliseconds() - 1
+	newest := now.Add(-closeDelay).UnixMilli()/r.Length.Milliseconds() - 1
 	oldest := now.Add(-r.MaximumDelay).UnixMilli() / r.Length.Milliseconds()
 	for w := oldest; w <= newest; w++ {
 		if !r.reported[w] {
@@ -73,7 +74,7 @@
 		}
 	}
 	for w := range r.reported {
-		if w < newest-reportedKept {
+		if w < newest-maximumReportedWindows {
 			delete(r.reported, w)
 		}
 	}
@@ -87,7 +88,7 @@
 			return
 		}
 		if err := r.DutyLease.Close(ctx, window, total); err != nil {
-			r.Logger.Info("window not closed", zap.Int64("Window", window), zap.Error(err))
+			r.Logger.Info("cannot close the usage window", zap.Int64("Window", window), zap.Error(err))
 			return
 		}
 		if figures, closed = r.DutyLease.Closed()[window]; !closed {
--- a/internal/reporter/windows_test.go
+++ b/internal/reporter/windows_test.go
@@ -15,36 +15,36 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// duty is a lease whose holder may change, with the closed windows of the log.
-type duty struct {
+// fakeLease is a lease whose holder may change, with the closed windows of the log.
+type fakeLease struct {
 	fence  identifier.Fence
 	closed map[int64]elector.Figures
 }
 
-func (d *duty) Authority() (identifier.Fence, error) {
+func (d *fakeLease) Authority() (identifier.Fence, error) {
 	if d.fence == 0 {
 		return 0, elector.ErrNotHolder
 	}
 	return d.fence, nil
 }
 
-func (d *duty) WithLease(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
+func (d *fakeLease) WithLease(ctx context.Context, send func(context.Context, identifier.Fence) error) error {
 	if d.fence == 0 {
 		return elector.ErrNotHolder
 	}
 	return send(ctx, d.fence)
 }
 
-func (d *duty) Close(_ context.Context, window int64, figures elector.Figures) error {
+func (d *fakeLease) Close(_ context.Context, window int64, figures elector.Figures) error {
 	if _, closed := d.closed[window]; !closed {
 		d.closed[window] = figures
 	}
 	return nil
 }
 
-func (d *duty) Closed() map[int64]elector.Figures { return d.closed }
+func (d *fakeLease) Closed() map[int64]elector.Figures { return d.closed }
 
-// platform keeps reports and fails as told.
+// platform records reports and returns err if it is set.
 type platform struct {
 	reports map[int64][]elector.Figures
 	err     error
@@ -61,7 +61,7 @@
 
 func TestWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &duty{fence: 1, closed: map[int64]elector.Figures{}}
+		d := &fakeLease{fence: 1, closed: map[int64]elector.Figures{}}
 		p := &platform{reports: map[int64][]elector.Figures{}}
 		count := uint64(10)
 		w := &reporter.WindowReporter{
@@ -75,7 +75,7 @@
 		time.Sleep(8 * time.Second)
 		quicktest.Assert(t, p.reports[start], quicktest.DeepEquals, []elector.Figures{{"team": 10}})
 
-		// Counts that come later change nothing: what was closed is reported, also by the next holder.
+		// Counts that arrive later have no effect: the next holder too reports the figures of the close.
 		count = 99
 		d.fence = 0
 		time.Sleep(time.Second)
@@ -87,7 +87,7 @@
 			}
 		}
 
-		// A report that fails is tried again; one that was fenced off is not, with the same number.
+		// A failed report is retried; one refused by fencing is not retried with the same fencing number.
 		p.err = errors.New("silent")
 		time.Sleep(5 * time.Second)
 		quicktest.Check(t, p.calls > 5, quicktest.IsTrue)
