--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -10,11 +10,11 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// TestCopiesComeInAnyOrder tells cells of three instances to a fourth, some of them twice and late.
+// TestCopiesComeInAnyOrder merges the counts of three instances at a fourth, in any order and more than once.
 func TestCopiesComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var total counter.Counter
-		var cells []counter.Count
+		var counts []counter.Count
 		want := map[identifier.TeamID]uint64{}
 		for _, incarnation := range []string{"a", "b", "c"} {
 			var own counter.Counter
@@ -26,14 +26,14 @@
 				if rapid.Bool().Draw(t, "beat") {
 					var changed []counter.Count
 					changed, next = own.ChangedSince(next)
-					cells = append(cells, changed...)
+					counts = append(counts, changed...)
 				}
 			}
 			changed, _ := own.ChangedSince(next)
-			cells = append(cells, changed...)
+			counts = append(counts, changed...)
 		}
-		for _, cell := range rapid.Permutation(append(cells, cells...)).Draw(t, "order") {
-			total.Merge(cell)
+		for _, count := range rapid.Permutation(append(counts, counts...)).Draw(t, "order") {
+			total.Merge(count)
 		}
 		got := total.Total(1)
 		for team, n := range want {
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestForget(t *testing.T) {
+func TestPrune(t *testing.T) {
 	var c counter.Counter
 	c.Add("a", 1, "x")
 	c.Add("a", 9, "x")
--- a/internal/counter/doc.go
+++ b/internal/counter/doc.go
@@ -1,2 +1,2 @@
-// Package counter counts the requests of each team that began to run in each usage window, here and at peers.
+// Package counter counts the requests of each team that start in each usage window, at this instance and its peers.
 package counter
