--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// awaitDrained waits until a target that changes its role or is released has no requests left. Every entry instance stops
+// awaitDrained waits until a target that changes its role or is withdrawn has no requests left. Every entry stops
 // sending requests to it as soon as it reads the intent.
 func (o *Orderer) awaitDrained(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
 	if order.Kind == recorder.OrderKind_Acquire {
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -69,7 +69,7 @@
 	Commander Commander
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// ScalingDown reports whether targets of a service are being released, which may include one that generates answers.
+	// ScalingDown reports whether targets of a service are being withdrawn, which may include one in the decode stage.
 	ScalingDown func(service identifier.ServiceID) bool
 	// Announce reports PendingOrders to the other instances at once.
 	Announce func()
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -41,12 +41,12 @@
 	Logger *zap.Logger
 
 	mu sync.Mutex
-	// scalingDown holds the services whose targets are being released.
+	// scalingDown holds the services whose targets are being withdrawn.
 	scalingDown map[identifier.ServiceID]bool
 	sent        map[pool]lastOrder
-	// releasing holds the last release order of each pool that still has the released targets.
-	releasing map[pool]lastOrder
-	discovery discovery
+	// withdrawing holds the last withdrawal of each pool that still has the withdrawn targets.
+	withdrawing map[pool]lastOrder
+	discovery   discovery
 }
 
 // pool is the regular or the cheap targets of a service in one availability zone.
@@ -62,11 +62,11 @@
 	until time.Time
 }
 
-// Run orders and releases targets while the lease is held, until ctx ends.
+// Run orders and withdraws targets while the lease is held, until ctx ends.
 func (s *Scaler) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, scaleInterval) == nil {
 		if _, err := s.DutyLease.Authority(); err != nil {
-			s.sent, s.releasing, s.discovery = nil, nil, discovery{}
+			s.sent, s.withdrawing, s.discovery = nil, nil, discovery{}
 			continue
 		}
 		table := s.Table()
@@ -81,7 +81,7 @@
 	}
 }
 
-// scale orders the targets that one service lacks, and releases surplus ones.
+// scale orders the targets that one service lacks, and withdraws surplus ones.
 func (s *Scaler) scale(ctx context.Context, service *matcher.Service) {
 	targets := s.Targets(service.ID)
 	discovered := s.discovery.update(len(targets), time.Now())
@@ -99,56 +99,56 @@
 		}
 		fleet[t.Zone] = z
 	}
-	situation := placer.FleetInput{
+	input := placer.FleetInput{
 		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
 		PeakLoad: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
 	}
 	for _, z := range fleet {
-		situation.Zones = append(situation.Zones, z)
+		input.Zones = append(input.Zones, z)
 	}
 	scalingDown := false
-	for _, w := range placer.PlanFleet(situation) {
+	for _, w := range placer.PlanFleet(input) {
 		have := fleet[w.Zone]
 		scalingDown = scalingDown || w.Cheap < have.Cheap || discovered && w.Regular < have.Regular
 		s.change(ctx, service, pool{service.ID, w.Zone, true}, have.Cheap, w.Cheap)
-		// No regular target is ordered or released before all existing targets are known.
+		// No regular target is ordered or withdrawn before all existing targets are known.
 		if discovered {
 			s.change(ctx, service, pool{service.ID, w.Zone, false}, have.Regular, w.Regular)
 		}
 	}
 	s.setScalingDown(service.ID, scalingDown)
-	for p, o := range s.releasing {
+	for p, o := range s.withdrawing {
 		if have := fleet[p.zone]; p.service == service.ID && (count(have, p.cheap) <= o.count || time.Now().After(o.until)) {
-			delete(s.releasing, p)
+			delete(s.withdrawing, p)
 		}
 	}
 }
 
-// change orders additional targets at once, but releases targets in one zone at a time, so that some that generate
-// answers remain: the platform chooses which targets leave, and replacing them takes a change of stage.
+// change orders additional targets at once, but withdraws targets in one zone at a time, so that some in the decode stage
+// remain: the platform chooses which targets leave, and replacing them takes a change of stage.
 func (s *Scaler) change(ctx context.Context, service *matcher.Service, p pool, have, want int) {
 	if want < have {
-		if len(s.releasing) > 0 {
+		if len(s.withdrawing) > 0 {
 			return
 		}
-		released := have - want
+		withdrawn := have - want
 		if service.Engine != nil {
-			released = min(released, placer.MaximumWithdrawals(s.answering(service.ID), p.zone, len(s.Targets(service.ID))))
+			withdrawn = min(withdrawn, placer.MaximumWithdrawals(s.decoding(service.ID), p.zone, len(s.Targets(service.ID))))
 		}
-		if released == 0 {
+		if withdrawn == 0 {
 			return
 		}
-		want = have - released
+		want = have - withdrawn
 	}
 	if s.order(ctx, service, p, have, want) && want < have {
-		if s.releasing == nil {
-			s.releasing = map[pool]lastOrder{}
+		if s.withdrawing == nil {
+			s.withdrawing = map[pool]lastOrder{}
 		}
-		s.releasing[p] = s.sent[p]
+		s.withdrawing[p] = s.sent[p]
 	}
 }
 
-// ScalingDown reports whether targets of a service are being released.
+// ScalingDown reports whether targets of a service are being withdrawn.
 func (s *Scaler) ScalingDown(service identifier.ServiceID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +171,8 @@
 	return z.Regular
 }
 
-// answering counts the targets that generate answers, by zone.
-func (s *Scaler) answering(service identifier.ServiceID) map[identifier.ZoneID]int {
+// decoding counts the available targets in the decode stage, by zone.
+func (s *Scaler) decoding(service identifier.ServiceID) map[identifier.ZoneID]int {
 	zones := map[identifier.ZoneID]int{}
 	for _, t := range s.Serving(service, time.Now()) {
 		if t.Stage == registrar.DecodeStage {
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -34,7 +34,7 @@
 	return send(ctx, 7)
 }
 
-// fleet fakes the platform and its engines. Released engines leave after entryDelay, those that generate answers first.
+// fleet fakes the platform and its engines. Withdrawn engines leave after entryDelay, those in the decode stage first.
 type fleet struct {
 	mu      sync.Mutex
 	targets []*registrar.Target
@@ -114,7 +114,7 @@
 	return slices.DeleteFunc(slices.Clone(f.targets), func(t *registrar.Target) bool { return !f.changed[t.ID].IsZero() })
 }
 
-func (f *fleet) answering() int {
+func (f *fleet) decoding() int {
 	n := 0
 	for _, t := range f.serving("s", time.Now()) {
 		if t.Stage == registrar.DecodeStage {
@@ -124,8 +124,8 @@
 	return n
 }
 
-// TestGivingBackLeavesTargetsForAnswers checks that some engine always generates answers while the load falls: engines
-// are released in every zone, and the platform stops those that generate answers first.
+// TestGivingBackLeavesTargetsForAnswers checks that some engine is always in the decode stage while the load falls:
+// engines are withdrawn in every zone, and the platform stops those in the decode stage first.
 func TestGivingBackLeavesTargetsForAnswers(t *testing.T) {
 	for _, zones := range [][]identifier.ZoneID{{"a", "b", "c", "d"}, {"a", "b"}, {"a"}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -156,7 +156,7 @@
 			group.Go(func() { scaler.Run(ctx) })
 			for range 600 {
 				time.Sleep(100 * time.Millisecond)
-				quicktest.Assert(t, f.answering() > 0, quicktest.IsTrue, quicktest.Commentf("%d zones: no engine generates answers", len(zones)))
+				quicktest.Assert(t, f.decoding() > 0, quicktest.IsTrue, quicktest.Commentf("%d zones: no engine in the decode stage", len(zones)))
 			}
 			cancel()
 			group.Wait()
