--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -162,15 +162,15 @@
 		Now: bootTime, Eligible: c.eligible,
 	}
 	c.scaler = &orderkeeper.Scaler{
-		Lease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
+		DutyLease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.stageController = &orderkeeper.StageController{
-		Holder: c.self.ID, Lease: c.elector, Commander: c.platform.Commander, ScalingDown: c.scaler.ScalingDown,
+		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.scaler.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windowReporter = &reporter.WindowReporter{
-		Lease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
+		DutyLease: c.elector, Platform: c.platform.Usage, Length: bounds.UsageWindow, MaximumDelay: bounds.UsageLate,
 		Now: c.medianTime, Total: c.counts.Total, Logger: c.logger,
 	}
 }
