--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -64,7 +64,7 @@
 	var verdict *recorder.Verdict
 	a.Config.Query(func() { verdict = a.Fold.Verdict(r.ID) })
 	if verdict == nil {
-		return nil, fmt.Errorf("%w: record %s", tailer.ErrUnknown, r.ID)
+		return nil, fmt.Errorf("%w: record %s", tailer.ErrUnconfirmed, r.ID)
 	}
 	return verdict, nil
 }
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -18,8 +18,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrUnknown is returned by Append when the records were not read back in time; they may still take effect.
-var ErrUnknown = errors.New("append not confirmed")
+// ErrUnconfirmed is returned by Append when the records were not read back in time; they may still take effect.
+var ErrUnconfirmed = errors.New("append not confirmed")
 
 const (
 	readWait       = 500 * time.Millisecond
@@ -203,7 +203,7 @@
 			return 0, sent
 		}
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("%w: stream %s: %w", ErrUnknown, t.Stream, ctx.Err())
+			return 0, fmt.Errorf("%w: stream %s: %w", ErrUnconfirmed, t.Stream, ctx.Err())
 		}
 	}
 }
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -90,7 +90,7 @@
 		"took effect, answer lost":   {func(int) (bool, error) { return true, lost }, nil, 1, 1},
 		"no effect at first":         {func(n int) (bool, error) { return n > 2, lost }, nil, 1, 3},
 		"refused":                    {func(int) (bool, error) { return false, provider.ErrRefused }, provider.ErrRefused, 0, 1},
-		"never, and given up":        {func(int) (bool, error) { return false, lost }, tailer.ErrUnknown, 0, 0},
+		"never, and given up":        {func(int) (bool, error) { return false, lost }, tailer.ErrUnconfirmed, 0, 0},
 		"refused, but took effect":   {func(int) (bool, error) { return true, provider.ErrRefused }, nil, 1, 1},
 		"answered without an effect": {func(n int) (bool, error) { return n > 1, nil }, nil, 1, 2},
 	} {
