--- a/internal/freshener/rule.go
+++ b/internal/freshener/rule.go
@@ -33,7 +33,7 @@
 type View struct {
 	Joined  bool
 	Next    identifier.Offset
-	Fresh   time.Time
+	FreshAt   time.Time
 	Members []Member
 }
 
@@ -42,7 +42,7 @@
 	if !v.Joined {
 		return time.Time{}
 	}
-	known := v.Fresh
+	known := v.FreshAt
 	if confirmed := majorityInstant(now, v); confirmed.After(known) {
 		known = confirmed
 	}
--- a/internal/freshener/rule_test.go
+++ b/internal/freshener/rule_test.go
@@ -28,9 +28,9 @@
 		v       freshener.View
 		serving bool
 	}{
-		"read of the log":              {freshener.View{Joined: true, Fresh: fresh(time.Second)}, true},
-		"read long ago":                {freshener.View{Joined: true, Fresh: fresh(3 * time.Second)}, false},
-		"not a member":                 {freshener.View{Fresh: fresh(0)}, false},
+		"read of the log":              {freshener.View{Joined: true, FreshAt: fresh(time.Second)}, true},
+		"read long ago":                {freshener.View{Joined: true, FreshAt: fresh(3 * time.Second)}, false},
+		"not a member":                 {freshener.View{FreshAt: fresh(0)}, false},
 		"never knew":                   {freshener.View{Joined: true}, false},
 		"majority not ahead":           {freshener.View{Joined: true, Next: 7, Members: []freshener.Member{self(7), peer(time.Second, 7), peer(time.Minute, 7)}}, true},
 		"majority with older ones":     {freshener.View{Joined: true, Next: 7, Members: []freshener.Member{self(7), peer(time.Second, 6), peer(time.Minute, 7)}}, true},
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -21,7 +21,7 @@
 // start, because what an earlier incarnation acknowledged is lost with its memory.
 func (e *Entry) beat() *messenger.Heartbeat {
 	age := maximumFreshAge
-	if fresh := e.config.Fresh(); !fresh.IsZero() {
+	if fresh := e.config.FreshAt(); !fresh.IsZero() {
 		age = min(age, time.Since(fresh))
 	}
 	beat := &messenger.Heartbeat{
@@ -55,10 +55,10 @@
 	if !e.joined() {
 		return false
 	}
-	if now.Before(e.config.Fresh().Add(bound)) {
+	if now.Before(e.config.FreshAt().Add(bound)) {
 		return true
 	}
-	v := freshener.View{Joined: true, Next: e.config.Next(), Fresh: e.config.Fresh(), Members: e.observer.View()}
+	v := freshener.View{Joined: true, Next: e.config.Next(), FreshAt: e.config.FreshAt(), Members: e.observer.View()}
 	return now.Before(freshener.ServeUntil(now, bound, v))
 }
 
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -42,7 +42,7 @@
 		Version:      identifier.Version(state.GetVersion()),
 		ConfigNext:   e.config.Next(),
 		LogReachable: e.config.Reachable(),
-		FreshAge:     time.Since(e.config.Fresh()).Round(time.Millisecond).String(),
+		FreshAge:     time.Since(e.config.FreshAt()).Round(time.Millisecond).String(),
 		Members:      state.GetMembers(),
 		Roles:        map[identifier.TargetID]string{},
 	}
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -57,7 +57,7 @@
 	mu        sync.Mutex
 	changed   chan struct{}
 	pending   map[string]*readBack
-	fresh     time.Time
+	freshAt     time.Time
 	reachable bool
 	caughtUp  bool
 	readSelf  bool
@@ -89,11 +89,11 @@
 	f()
 }
 
-// Fresh returns the latest instant at which the fold was known to hold the whole stream.
-func (t *Tailer) Fresh() time.Time {
+// FreshAt returns the latest instant at which the fold was known to hold the whole stream.
+func (t *Tailer) FreshAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fresh
+	return t.freshAt
 }
 
 // Reachable reports whether the last read of the stream succeeded.
@@ -125,7 +125,7 @@
 }
 
 // Adopt replaces the state by a peer's newer one, known to be whole at the instant fresh.
-func (t *Tailer) Adopt(next identifier.Offset, state []byte, fresh time.Time) error {
+func (t *Tailer) Adopt(next identifier.Offset, state []byte, freshAt time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if next > t.Fold.Next() {
@@ -135,18 +135,18 @@
 		t.signal()
 	}
 	t.caughtUp = true
-	if next >= t.Fold.Next() && fresh.After(t.fresh) {
-		t.fresh = fresh
+	if next >= t.Fold.Next() && freshAt.After(t.freshAt) {
+		t.freshAt = freshAt
 	}
 	return nil
 }
 
 // Confirm records that a peer with the same offset was fresh at the given instant.
-func (t *Tailer) Confirm(next identifier.Offset, fresh time.Time) {
+func (t *Tailer) Confirm(next identifier.Offset, freshAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.caughtUp && next == t.Fold.Next() && fresh.After(t.fresh) {
-		t.fresh = fresh
+	if t.caughtUp && next == t.Fold.Next() && freshAt.After(t.freshAt) {
+		t.freshAt = freshAt
 	}
 }
 
@@ -315,8 +315,8 @@
 	}
 	t.caughtUp = true
 	t.readSelf = true
-	if started.After(t.fresh) {
-		t.fresh = started
+	if started.After(t.freshAt) {
+		t.freshAt = started
 	}
 }
 
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -115,18 +115,18 @@
 	log := &faultyLog{}
 	follow(t, log, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
 		time.Sleep(time.Second)
-		quicktest.Check(t, time.Since(tl.Fresh()) < 100*time.Millisecond, quicktest.IsTrue)
+		quicktest.Check(t, time.Since(tl.FreshAt()) < 100*time.Millisecond, quicktest.IsTrue)
 		quicktest.Check(t, tl.Reachable() && tl.CaughtUp() && tl.ReadSelf(), quicktest.IsTrue)
 		log.mu.Lock()
 		log.down = true
 		log.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		quicktest.Check(t, time.Since(tl.Fresh()) > 4*time.Second, quicktest.IsTrue)
+		quicktest.Check(t, time.Since(tl.FreshAt()) > 4*time.Second, quicktest.IsTrue)
 		quicktest.Check(t, tl.Reachable(), quicktest.IsFalse)
 		tl.Confirm(tl.Next(), time.Now())
-		quicktest.Check(t, time.Since(tl.Fresh()), quicktest.Equals, time.Duration(0))
+		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0))
 		tl.Confirm(tl.Next()+1, time.Now().Add(time.Second))
-		quicktest.Check(t, time.Since(tl.Fresh()), quicktest.Equals, time.Duration(0), quicktest.Commentf("a peer that is ahead confirms nothing"))
+		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0), quicktest.Commentf("a peer that is ahead confirms nothing"))
 	})
 }
 
