--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -29,7 +29,7 @@
 		Incarnation:          e.member.Incarnation,
 		ConfigNext:           uint64(e.config.Next()),
 		FreshAgeMilliseconds: age.Milliseconds() + 1,
-		Voting:               e.config.ReadSelf(),
+		Voting:               e.config.ReadFromLog(),
 		Leaving:              e.leaving.Load(),
 		Hears:                e.observer.Hears(addressSilence),
 	}
@@ -72,7 +72,7 @@
 			return
 		}
 		evicted := !memberAt.IsZero() && time.Since(memberAt) < rejoinAfter
-		if evicted || e.leaving.Load() || !e.config.ReadSelf() {
+		if evicted || e.leaving.Load() || !e.config.ReadFromLog() {
 			return
 		}
 		if err := e.admin.Join(ctx, e.member); err != nil {
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -60,7 +60,7 @@
 	freshAt     time.Time
 	reachable bool
 	caughtUp  bool
-	readSelf  bool
+	readFromLog  bool
 }
 
 type readBack struct {
@@ -110,11 +110,11 @@
 	return t.caughtUp
 }
 
-// ReadSelf reports whether the fold has held the whole stream by this process's own reading.
-func (t *Tailer) ReadSelf() bool {
+// ReadFromLog reports whether the fold has held the whole stream by this process's own reading.
+func (t *Tailer) ReadFromLog() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.readSelf
+	return t.readFromLog
 }
 
 // Next returns the offset after the last applied record.
@@ -314,7 +314,7 @@
 		return
 	}
 	t.caughtUp = true
-	t.readSelf = true
+	t.readFromLog = true
 	if started.After(t.freshAt) {
 		t.freshAt = started
 	}
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -116,7 +116,7 @@
 	follow(t, log, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
 		time.Sleep(time.Second)
 		quicktest.Check(t, time.Since(tl.FreshAt()) < 100*time.Millisecond, quicktest.IsTrue)
-		quicktest.Check(t, tl.Reachable() && tl.CaughtUp() && tl.ReadSelf(), quicktest.IsTrue)
+		quicktest.Check(t, tl.Reachable() && tl.CaughtUp() && tl.ReadFromLog(), quicktest.IsTrue)
 		log.mu.Lock()
 		log.down = true
 		log.mu.Unlock()
