--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -109,7 +109,7 @@
 	next := identifier.Offset(beat.ConfigNext)
 	fresh := sentAt.Add(-time.Duration(beat.FreshAgeMilliseconds) * time.Millisecond)
 	if next == o.Config.Next() {
-		o.Config.Confirm(next, fresh)
+		o.Config.ConfirmFresh(next, fresh)
 		return
 	}
 	if next < o.Config.Next() || o.Config.Reachable() {
@@ -122,7 +122,7 @@
 		return
 	}
 	age := time.Duration(reply.Heartbeat.FreshAgeMilliseconds) * time.Millisecond
-	o.Config.Adopt(identifier.Offset(reply.Checkpoint.Next), reply.Checkpoint.State, sentAt.Add(-age))
+	o.Config.InstallSnapshot(identifier.Offset(reply.Checkpoint.Next), reply.Checkpoint.State, sentAt.Add(-age))
 }
 
 // SetGone replaces the set of members that the platform no longer lists.
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -136,7 +136,7 @@
 
 func (e *Entry) newTailer(stream identifier.StreamID, fold tailer.Fold, applied func()) *tailer.Tailer {
 	return &tailer.Tailer{
-		Stream: stream, Log: e.platform, Fold: fold, Logger: e.logger, Applied: applied,
+		Stream: stream, Log: e.platform, Fold: fold, Logger: e.logger, OnApply: applied,
 		Writer: identifier.InstanceID(e.origin()),
 	}
 }
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -52,7 +52,7 @@
 	Fold    Fold
 	Writer  identifier.InstanceID
 	Logger  *zap.Logger
-	Applied func()
+	OnApply func()
 
 	mu        sync.Mutex
 	changed   chan struct{}
@@ -124,8 +124,8 @@
 	return t.Fold.Next()
 }
 
-// Adopt replaces the state by a peer's newer one, known to be whole at the instant fresh.
-func (t *Tailer) Adopt(next identifier.Offset, state []byte, freshAt time.Time) error {
+// InstallSnapshot replaces the state by a peer's newer one, known to be whole at the instant fresh.
+func (t *Tailer) InstallSnapshot(next identifier.Offset, state []byte, freshAt time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if next > t.Fold.Next() {
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Confirm records that a peer with the same offset was fresh at the given instant.
-func (t *Tailer) Confirm(next identifier.Offset, freshAt time.Time) {
+// ConfirmFresh records that a peer with the same offset was fresh at the given instant.
+func (t *Tailer) ConfirmFresh(next identifier.Offset, freshAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.caughtUp && next == t.Fold.Next() && freshAt.After(t.freshAt) {
@@ -334,8 +334,8 @@
 		close(t.changed)
 		t.changed = nil
 	}
-	if t.Applied != nil {
-		t.Applied()
+	if t.OnApply != nil {
+		t.OnApply()
 	}
 }
 
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -123,9 +123,9 @@
 		time.Sleep(5 * time.Second)
 		quicktest.Check(t, time.Since(tl.FreshAt()) > 4*time.Second, quicktest.IsTrue)
 		quicktest.Check(t, tl.Reachable(), quicktest.IsFalse)
-		tl.Confirm(tl.Next(), time.Now())
+		tl.ConfirmFresh(tl.Next(), time.Now())
 		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0))
-		tl.Confirm(tl.Next()+1, time.Now().Add(time.Second))
+		tl.ConfirmFresh(tl.Next()+1, time.Now().Add(time.Second))
 		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0), quicktest.Commentf("a peer that is ahead confirms nothing"))
 	})
 }
