--- a/internal/accounter/accounter_test.go
+++ b/internal/accounter/accounter_test.go
@@ -65,13 +65,13 @@
 			case 2:
 				if d != nil {
 					m.Hold(d)
-					l.Acked(version)
+					l.Acknowledge(version)
 				}
 			case 3:
 				if d != nil {
 					send(d)
 				}
-				l.Settle(f.Counted("o"))
+				l.SetCounted(f.Counted("o"))
 			case 4:
 				for _, due := range m.Overdue(0, f.Counted) {
 					send(due)
@@ -84,7 +84,7 @@
 				apply(closing(f.Window()))
 			}
 		}
-		l.Settle(f.Counted("o"))
+		l.SetCounted(f.Counted("o"))
 		if d, _ := l.Unlogged(); d != nil {
 			apply(record(d))
 		}
--- a/internal/accounter/ledger.go
+++ b/internal/accounter/ledger.go
@@ -18,7 +18,7 @@
 	totals   map[string]*recorder.TeamUsage
 	counted  map[string]*recorder.TeamUsage
 	version  uint64
-	acked    uint64
+	acknowledged    uint64
 	mirrored bool
 	dirty    chan struct{}
 	changed  chan struct{}
@@ -53,7 +53,7 @@
 	l.mu.Unlock()
 	for {
 		l.mu.Lock()
-		done := !l.mirrored || l.acked >= want
+		done := !l.mirrored || l.acknowledged >= want
 		changed := l.changedChan()
 		l.mu.Unlock()
 		if done {
@@ -79,26 +79,26 @@
 func (l *Ledger) Unlogged() (*recorder.UsageDelta, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Lacking(l.Origin, l.totals, l.counted), l.version
+	return Uncounted(l.Origin, l.totals, l.counted), l.version
 }
 
-// Settle takes note of what the log has counted for this instance.
-func (l *Ledger) Settle(counted map[string]*recorder.TeamUsage) {
+// SetCounted takes note of what the log has counted for this instance.
+func (l *Ledger) SetCounted(counted map[string]*recorder.TeamUsage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counted = counted
 }
 
-// Acked records that a peer holds the copies of a version.
-func (l *Ledger) Acked(version uint64) {
+// Acknowledge records that a peer holds the copies of a version.
+func (l *Ledger) Acknowledge(version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.acked = max(l.acked, version)
+	l.acknowledged = max(l.acknowledged, version)
 	l.signal()
 }
 
-// Lacking returns the totals that exceed what was counted, or nil.
-func Lacking(origin string, totals, counted map[string]*recorder.TeamUsage) *recorder.UsageDelta {
+// Uncounted returns the totals that exceed what was counted, or nil.
+func Uncounted(origin string, totals, counted map[string]*recorder.TeamUsage) *recorder.UsageDelta {
 	d := &recorder.UsageDelta{Origin: origin}
 	for _, u := range sortedUsage(totals) {
 		if Excess(u, counted[u.Team]) != nil {
--- a/internal/accounter/mirror.go
+++ b/internal/accounter/mirror.go
@@ -50,7 +50,7 @@
 		if time.Since(o.heard) < silence {
 			continue
 		}
-		d := Lacking(origin, o.totals, counted(origin))
+		d := Uncounted(origin, o.totals, counted(origin))
 		if d == nil {
 			delete(m.origins, origin)
 			continue
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -45,7 +45,7 @@
 	req := &messenger.Request{Body: &messenger.Request_Hold{Hold: &messenger.Hold{Delta: delta}}}
 	for _, m := range peers {
 		if e.hold(ctx, m, req) {
-			e.ledger.Acked(version)
+			e.ledger.Acknowledge(version)
 			return true
 		}
 	}
@@ -97,7 +97,7 @@
 	if err := e.appendDelta(ctx, d); err != nil {
 		e.logger.Debug("usage not appended", zap.Error(err))
 	}
-	e.ledger.Settle(e.counted(e.origin()))
+	e.ledger.SetCounted(e.counted(e.origin()))
 	d, _ = e.ledger.Unlogged()
 	return d == nil
 }
