--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -16,8 +16,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrLost is returned when the lease is not held, or not for long enough.
-var ErrLost = errors.New("lease not held")
+// ErrNotHeld is returned when the lease is not held, or not for long enough.
+var ErrNotHeld = errors.New("lease not held")
 
 const (
 	renewalsPerLease = 4
@@ -47,7 +47,7 @@
 	defer h.mu.Unlock()
 	remaining := time.Until(h.until)
 	if remaining <= 0 {
-		return 0, 0, ErrLost
+		return 0, 0, ErrNotHeld
 	}
 	return h.fence, remaining, nil
 }
@@ -59,7 +59,7 @@
 		return err
 	}
 	if held != fence {
-		return fmt.Errorf("%w: fencing number %d was superseded by %d", ErrLost, fence, held)
+		return fmt.Errorf("%w: fencing number %d was superseded by %d", ErrNotHeld, fence, held)
 	}
 	asserter.That(remaining > 0 && remaining <= h.Lease, asserter.LeaseHeldAtSend, "%s left of %s", remaining, h.Lease)
 	ctx, cancel := context.WithTimeout(ctx, min(timeout, remaining))
