--- a/internal/administrator/membership.go
+++ b/internal/administrator/membership.go
@@ -61,7 +61,7 @@
 	if count == 0 {
 		return version, nil
 	}
-	if !freshener.Majority(offset, a.Members()) {
+	if !freshener.HeldByMajority(offset, a.Members()) {
 		return 0, fmt.Errorf("%w: membership %d", ErrNoMajority, version)
 	}
 	return version, nil
--- a/internal/freshener/rule.go
+++ b/internal/freshener/rule.go
@@ -75,8 +75,8 @@
 	return heard[quorum-1]
 }
 
-// Majority reports whether a majority of the members holds the record at offset.
-func Majority(offset identifier.Offset, members []Member) bool {
+// HeldByMajority reports whether a majority of the members holds the record at offset.
+func HeldByMajority(offset identifier.Offset, members []Member) bool {
 	return countHolding(offset, members) >= len(members)/2+1
 }
 
