--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -22,9 +22,9 @@
 
 const lease = 3 * time.Second
 
-// overlap runs three contenders while the platform is cut from one after the other, and returns how
-// often two of them held the lease at the same instant, and how many fencing numbers were seen.
-func overlap(t *testing.T, contenderLease time.Duration) (overlaps, fences int) {
+// runContenders runs three holders and cuts each in turn off the platform. It returns at how many checks more than
+// one of them held the lease, and how many fencing numbers were seen. All but the first use contenderLease.
+func runContenders(t *testing.T, contenderLease time.Duration) (overlaps, fences int) {
 	synctest.Test(t, func(t *testing.T) {
 		var network imitator.Network
 		lis, err := network.Host("platform").Listen("platform:1")
@@ -32,7 +32,7 @@
 		srv := &http.Server{Handler: (&imitator.Platform{}).Handler()}
 		go srv.Serve(lis)
 		ctx, cancel := context.WithCancel(context.Background())
-		var group sync.WaitGroup
+		var wg sync.WaitGroup
 		var holders []*holder.Holder
 		var clients []*http.Client
 		for i := range 3 {
@@ -46,12 +46,12 @@
 				h.Lease = contenderLease
 			}
 			holders = append(holders, h)
-			group.Go(func() { control.Run(ctx) })
-			group.Go(func() { h.Run(ctx) })
-			// The first host gets the lease before the others contend for it.
+			wg.Go(func() { control.Run(ctx) })
+			wg.Go(func() { h.Run(ctx) })
+			// The first host gets the lease before the others start.
 			time.Sleep(time.Second)
 		}
-		seen := map[any]bool{}
+		seenFences := map[any]bool{}
 		for step := range 1200 {
 			cut := fmt.Sprint("host-", step/300%3)
 			if step%300 == 100 {
@@ -65,16 +65,16 @@
 			for _, h := range holders {
 				if fence, _, err := h.Authority(); err == nil {
 					held++
-					seen[fence] = true
+					seenFences[fence] = true
 				}
 			}
 			if held > 1 {
 				overlaps++
 			}
 		}
-		fences = len(seen)
+		fences = len(seenFences)
 		cancel()
-		group.Wait()
+		wg.Wait()
 		srv.Close()
 		for _, c := range clients {
 			c.CloseIdleConnections()
@@ -84,9 +84,9 @@
 }
 
 func TestOneHolderAtATime(t *testing.T) {
-	impatient, _ := overlap(t, time.Second)
-	quicktest.Check(t, impatient > 0, quicktest.IsTrue, quicktest.Commentf("contenders that do not wait out the lease overlap with its holder"))
-	overlaps, fences := overlap(t, lease)
+	early, _ := runContenders(t, time.Second)
+	quicktest.Check(t, early > 0, quicktest.IsTrue, quicktest.Commentf("contenders that claim before the lease expires overlap with its holder"))
+	overlaps, fences := runContenders(t, lease)
 	quicktest.Check(t, overlaps, quicktest.Equals, 0)
-	quicktest.Check(t, fences >= 2, quicktest.IsTrue, quicktest.Commentf("the lease changed hands: %d fencing numbers", fences))
+	quicktest.Check(t, fences >= 2, quicktest.IsTrue, quicktest.Commentf("the lease must change holders: %d fencing numbers", fences))
 }
