--- a/internal/tailer/bootstrap.go
+++ b/internal/tailer/bootstrap.go
@@ -13,17 +13,18 @@
 // ErrNoCheckpoint is returned when a truncated stream holds no usable checkpoint.
 var ErrNoCheckpoint = errors.New("no usable checkpoint")
 
-// bootstrap reads all retained records, restores the newest checkpoint among them and applies the rest.
+// bootstrap reads all retained records, restores the newest usable checkpoint among them and applies the records after
+// it.
 func (t *Tailer) bootstrap(ctx context.Context) error {
 	page, started, err := t.read(ctx, provider.Oldest, 0)
 	if err != nil {
 		return err
 	}
-	var all []*recorder.Record
-	offset := page.Offset
+	var records []*recorder.Record
+	first := page.Offset
 	for {
-		all = append(all, decode(page)...)
-		next := offset + identifier.Offset(len(all))
+		records = append(records, decode(page)...)
+		next := first + identifier.Offset(len(records))
 		if next >= page.End {
 			break
 		}
@@ -33,32 +34,34 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if err := t.restore(offset, all); err != nil {
+	if err := t.restore(first, records); err != nil {
 		return err
 	}
-	for i, r := range all {
-		t.applyOne(offset+identifier.Offset(i), r)
+	for i, r := range records {
+		t.applyOne(first+identifier.Offset(i), r)
 	}
-	t.noteRead(offset+identifier.Offset(len(all)), started)
+	t.markRead(first+identifier.Offset(len(records)), started)
 	t.signal()
 	return nil
 }
 
-func (t *Tailer) restore(offset identifier.Offset, all []*recorder.Record) error {
-	best := t.Fold.Next()
+// restore restores the newest checkpoint that is ahead of the fold and covers every record before first, the oldest
+// retained offset. Without one, the fold must already contain those records.
+func (t *Tailer) restore(first identifier.Offset, records []*recorder.Record) error {
+	newest := t.Fold.Next()
 	var state []byte
-	for _, r := range all {
+	for _, r := range records {
 		c := r.GetCheckpoint()
-		if c != nil && identifier.Offset(c.Next) > best && identifier.Offset(c.Next) >= offset {
-			best = identifier.Offset(c.Next)
+		if c != nil && identifier.Offset(c.Next) > newest && identifier.Offset(c.Next) >= first {
+			newest = identifier.Offset(c.Next)
 			state = c.State
 		}
 	}
 	if state != nil {
 		return t.Fold.Restore(state)
 	}
-	if t.Fold.Next() < offset {
-		return fmt.Errorf("%w: stream %s starts at %d", ErrNoCheckpoint, t.Stream, offset)
+	if t.Fold.Next() < first {
+		return fmt.Errorf("%w: stream %s starts at %d", ErrNoCheckpoint, t.Stream, first)
 	}
 	return nil
 }
--- a/internal/tailer/doc.go
+++ b/internal/tailer/doc.go
@@ -1,2 +1,2 @@
-// Package tailer follows one stream of the platform's log, folds it into a state and appends to it.
+// Package tailer reads one stream of the platform's log, applies its records to a fold and appends to it.
 package tailer
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -18,20 +18,25 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrUnconfirmed is returned by Append when the records were not read back in time; they may still take effect.
+// ErrUnconfirmed is returned by Append when the records were not read back before its context ended; they may still
+// take effect.
 var ErrUnconfirmed = errors.New("append not confirmed")
 
 const (
-	readWait       = 500 * time.Millisecond
-	readTimeout    = 2 * time.Second
-	appendTimeout  = time.Second
-	retryInitial   = 20 * time.Millisecond
-	retryMaximum   = 400 * time.Millisecond
-	readBackWait   = 300 * time.Millisecond
+	// readWait is how long the platform holds a read open when there is no new record.
+	readWait    = 500 * time.Millisecond
+	readTimeout = 2 * time.Second
+	// appendTimeout limits one append call and, after a successful one, the wait until its records are read back.
+	appendTimeout = time.Second
+	retryInitial  = 20 * time.Millisecond
+	retryMaximum  = 400 * time.Millisecond
+	// readBackWait is the minimum wait for the records of a failed append, which may have taken effect.
+	readBackWait = 300 * time.Millisecond
+	// maximumPending is the number of appended records that may wait to be read back.
 	maximumPending = 1 << 16
 )
 
-// Log is the part of the platform that a tailer needs.
+// Log is the part of the platform's client that a Tailer uses.
 type Log interface {
 	Append(ctx context.Context, stream identifier.StreamID, records [][]byte) (identifier.Offset, error)
 	Read(ctx context.Context, stream identifier.StreamID, from identifier.Offset, wait time.Duration) (provider.Page, error)
@@ -47,22 +52,26 @@
 
 // Tailer follows one stream; Stream, Log, Fold and Writer must be set before Run.
 type Tailer struct {
-	Stream  identifier.StreamID
-	Log     Log
-	Fold    Fold
-	Writer  identifier.InstanceID
-	Logger  *zap.Logger
+	Stream identifier.StreamID
+	Log    Log
+	Fold   Fold
+	Writer identifier.InstanceID
+	Logger *zap.Logger
+	// OnApply, if set, is called with the fold locked after records were applied or a snapshot was installed.
 	OnApply func()
 
-	mu        sync.Mutex
-	changed   chan struct{}
-	pending   map[string]*readBack
+	mu sync.Mutex
+	// changed is closed at the next change of the fold; it is nil while nobody waits.
+	changed chan struct{}
+	// pending holds the appended records that were not yet read back, by record id.
+	pending     map[string]*readBack
 	freshAt     time.Time
-	reachable bool
-	caughtUp  bool
-	readFromLog  bool
+	reachable   bool
+	caughtUp    bool
+	readFromLog bool
 }
 
+// readBack is the offset at which an appended record was read back, valid once done is closed.
 type readBack struct {
 	done   chan struct{}
 	offset identifier.Offset
@@ -77,19 +86,19 @@
 			retry.Reset()
 			continue
 		}
-		t.noteFailure(err)
+		t.markUnreachable(err)
 		sleeper.Sleep(ctx, retry.NextBackOff())
 	}
 }
 
-// Query runs f while no record is applied.
+// Query runs f with the fold locked, so that no record is applied meanwhile.
 func (t *Tailer) Query(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f()
 }
 
-// FreshAt returns the latest instant at which the fold was known to hold the whole stream.
+// FreshAt returns the latest instant at which the fold was known to contain the whole stream.
 func (t *Tailer) FreshAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,14 +112,14 @@
 	return t.reachable
 }
 
-// CaughtUp reports whether the fold has once held the whole stream.
+// CaughtUp reports whether the fold has ever contained the whole stream.
 func (t *Tailer) CaughtUp() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.caughtUp
 }
 
-// ReadFromLog reports whether the fold has held the whole stream by this process's own reading.
+// ReadFromLog reports whether this process itself has read the stream to its end, not only installed a peer's snapshot.
 func (t *Tailer) ReadFromLog() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,7 +133,8 @@
 	return t.Fold.Next()
 }
 
-// InstallSnapshot replaces the state by a peer's newer one, known to be whole at the instant fresh.
+// InstallSnapshot replaces the state by a peer's if that is newer. freshAt is when the peer's state was known to
+// contain the whole stream.
 func (t *Tailer) InstallSnapshot(next identifier.Offset, state []byte, freshAt time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,7 +151,8 @@
 	return nil
 }
 
-// ConfirmFresh records that a peer with the same offset was fresh at the given instant.
+// ConfirmFresh records that a peer's state was known to contain the whole stream at freshAt. It has an effect only if
+// both have applied the same records.
 func (t *Tailer) ConfirmFresh(next identifier.Offset, freshAt time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,7 +161,8 @@
 	}
 }
 
-// WaitFor returns once cond, called while no record is applied, is true, or with the error of ctx.
+// WaitFor waits until cond returns true, or until ctx ends and then returns its error. cond is called with the fold
+// locked.
 func (t *Tailer) WaitFor(ctx context.Context, cond func() bool) error {
 	for {
 		t.mu.Lock()
@@ -168,12 +180,13 @@
 	}
 }
 
-// NewRecord returns a record of this writer under a fresh id.
+// NewRecord returns an empty record with this writer and a new id.
 func (t *Tailer) NewRecord() *recorder.Record {
 	return &recorder.Record{ID: uuid.NewString(), Writer: string(t.Writer)}
 }
 
-// Append adds records and returns the offset of the first once all were read back; ErrUnknown leaves the outcome open.
+// Append appends records and returns the offset of the first once all were read back. It repeats the call until then,
+// or until the platform refuses it or ctx ends; with ErrUnconfirmed the records may still take effect.
 func (t *Tailer) Append(ctx context.Context, records ...*recorder.Record) (identifier.Offset, error) {
 	data := make([][]byte, len(records))
 	waits := make([]*readBack, len(records))
@@ -191,16 +204,16 @@
 	last := waits[len(waits)-1]
 	retry := newRetry()
 	for {
-		sent := t.send(ctx, data)
+		sendErr := t.send(ctx, data)
 		wait := readBackWait + retry.NextBackOff()
-		if sent == nil {
+		if sendErr == nil {
 			wait = appendTimeout
 		}
 		if awaitReadBack(ctx, last.done, wait) {
 			return waits[0].offset, nil
 		}
-		if errors.Is(sent, provider.ErrRefused) {
-			return 0, sent
+		if errors.Is(sendErr, provider.ErrRefused) {
+			return 0, sendErr
 		}
 		if ctx.Err() != nil {
 			return 0, fmt.Errorf("%w: stream %s: %w", ErrUnconfirmed, t.Stream, ctx.Err())
@@ -208,7 +221,7 @@
 	}
 }
 
-// AppendCheckpoint re-appends the folded state so that older records may expire.
+// AppendCheckpoint appends a checkpoint of the folded state, so that older records may expire.
 func (t *Tailer) AppendCheckpoint(ctx context.Context) error {
 	var state []byte
 	var next identifier.Offset
@@ -240,7 +253,7 @@
 		t.pending = map[string]*readBack{}
 	}
 	if len(t.pending)+len(records) > maximumPending {
-		return fmt.Errorf("%w: too many appends wait", provider.ErrRefused)
+		return fmt.Errorf("%w: too many appends pending", provider.ErrRefused)
 	}
 	for i, r := range records {
 		waits[i] = &readBack{done: make(chan struct{})}
@@ -257,7 +270,8 @@
 	}
 }
 
-// step reads one page and applies it, or starts over from a checkpoint where the log was truncated.
+// step reads one page and applies it. It bootstraps from a checkpoint at first, and when the log was truncated beyond
+// the next offset.
 func (t *Tailer) step(ctx context.Context) error {
 	t.mu.Lock()
 	from, caughtUp := t.Fold.Next(), t.caughtUp
@@ -291,12 +305,13 @@
 	for i, r := range records {
 		t.applyOne(page.Offset+identifier.Offset(i), r)
 	}
-	t.noteRead(page.End, started)
+	t.markRead(page.End, started)
 	if len(records) > 0 {
 		t.signal()
 	}
 }
 
+// applyOne applies a record if it is the next one of the stream, and completes the append that waits for it.
 func (t *Tailer) applyOne(offset identifier.Offset, r *recorder.Record) {
 	if offset != t.Fold.Next() {
 		return
@@ -308,7 +323,9 @@
 	}
 }
 
-func (t *Tailer) noteRead(end identifier.Offset, started time.Time) {
+// markRead records a successful read that began at started. If the fold has reached end, the end of the stream at that
+// read, it contained the whole stream at started.
+func (t *Tailer) markRead(end identifier.Offset, started time.Time) {
 	t.reachable = true
 	if t.Fold.Next() < end {
 		return
@@ -320,7 +337,7 @@
 	}
 }
 
-func (t *Tailer) noteFailure(err error) {
+func (t *Tailer) markUnreachable(err error) {
 	t.mu.Lock()
 	t.reachable = false
 	t.mu.Unlock()
@@ -329,6 +346,7 @@
 	}
 }
 
+// signal wakes the callers of WaitFor and calls OnApply.
 func (t *Tailer) signal() {
 	if t.changed != nil {
 		close(t.changed)
@@ -339,6 +357,7 @@
 	}
 }
 
+// watch returns a channel that is closed at the next change of the fold.
 func (t *Tailer) watch() <-chan struct{} {
 	if t.changed == nil {
 		t.changed = make(chan struct{})
@@ -346,7 +365,8 @@
 	return t.changed
 }
 
-// decode returns a page's records; one that cannot be decoded is void at every reader alike.
+// decode returns the records of a page. One that cannot be decoded becomes an empty record, so that it has no effect at
+// any reader.
 func decode(page provider.Page) []*recorder.Record {
 	records := make([]*recorder.Record, len(page.Records))
 	for i, data := range page.Records {
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -18,28 +18,28 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// faultyLog is a log in memory; fail decides for the n-th append whether it takes effect and what is answered.
+// faultyLog is an in-memory log; fail decides whether the n-th append takes effect and which error it returns.
 type faultyLog struct {
 	mu      sync.Mutex
 	first   int
 	records [][]byte
 	appends int
 	down    bool
-	fail    func(n int) (takesEffect bool, answer error)
+	fail    func(n int) (takesEffect bool, err error)
 }
 
 func (l *faultyLog) Append(_ context.Context, _ identifier.StreamID, records [][]byte) (identifier.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
-	takesEffect, answer := true, error(nil)
+	takesEffect, err := true, error(nil)
 	if l.fail != nil {
-		takesEffect, answer = l.fail(l.appends)
+		takesEffect, err = l.fail(l.appends)
 	}
 	if takesEffect {
 		l.records = append(l.records, records...)
 	}
-	return identifier.Offset(l.first + len(l.records) - len(records)), answer
+	return identifier.Offset(l.first + len(l.records) - len(records)), err
 }
 
 func (l *faultyLog) Read(_ context.Context, _ identifier.StreamID, from identifier.Offset, _ time.Duration) (provider.Page, error) {
@@ -64,38 +64,38 @@
 	return &recorder.Record{ID: id, Body: &recorder.Record_Dispatch{Dispatch: &recorder.Dispatch{Key: key}}}
 }
 
-// follow runs a tailer on a log while f runs.
-func follow(t *testing.T, log *faultyLog, f func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold)) {
+// runTailer runs a Tailer on a log while f runs.
+func runTailer(t *testing.T, log *faultyLog, f func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold)) {
 	synctest.Test(t, func(t *testing.T) {
 		fold := &journaler.Fold{}
 		tl := &tailer.Tailer{Stream: "Journal", Log: log, Fold: fold, Writer: "w"}
 		ctx, cancel := context.WithCancel(t.Context())
-		var group sync.WaitGroup
-		group.Go(func() { tl.Run(ctx) })
+		var wg sync.WaitGroup
+		wg.Go(func() { tl.Run(ctx) })
 		f(t, tl, fold)
 		cancel()
-		group.Wait()
+		wg.Wait()
 	})
 }
 
-func TestAppendFindsLostAnswers(t *testing.T) {
-	lost := errors.New("answer lost")
+func TestAppendConfirmsByReadBack(t *testing.T) {
+	lost := errors.New("response lost")
 	for name, tc := range map[string]struct {
 		fail    func(n int) (bool, error)
 		want    error
 		copies  int
 		appends int
 	}{
-		"answered":                   {nil, nil, 1, 1},
-		"took effect, answer lost":   {func(int) (bool, error) { return true, lost }, nil, 1, 1},
-		"no effect at first":         {func(n int) (bool, error) { return n > 2, lost }, nil, 1, 3},
-		"refused":                    {func(int) (bool, error) { return false, provider.ErrRefused }, provider.ErrRefused, 0, 1},
-		"never, and given up":        {func(int) (bool, error) { return false, lost }, tailer.ErrUnconfirmed, 0, 0},
-		"refused, but took effect":   {func(int) (bool, error) { return true, provider.ErrRefused }, nil, 1, 1},
-		"answered without an effect": {func(n int) (bool, error) { return n > 1, nil }, nil, 1, 2},
+		"acknowledged":                {nil, nil, 1, 1},
+		"took effect, response lost":  {func(int) (bool, error) { return true, lost }, nil, 1, 1},
+		"no effect at first":          {func(n int) (bool, error) { return n > 2, lost }, nil, 1, 3},
+		"refused":                     {func(int) (bool, error) { return false, provider.ErrRefused }, provider.ErrRefused, 0, 1},
+		"no effect until the timeout": {func(int) (bool, error) { return false, lost }, tailer.ErrUnconfirmed, 0, 0},
+		"refused, but took effect":    {func(int) (bool, error) { return true, provider.ErrRefused }, nil, 1, 1},
+		"acknowledged without effect": {func(n int) (bool, error) { return n > 1, nil }, nil, 1, 2},
 	} {
 		log := &faultyLog{fail: tc.fail}
-		follow(t, log, func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold) {
+		runTailer(t, log, func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold) {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
 			_, err := tl.Append(ctx, dispatch("1", "k"))
@@ -111,9 +111,9 @@
 	}
 }
 
-func TestFreshnessStopsWithTheLog(t *testing.T) {
+func TestFreshAtStopsDuringOutage(t *testing.T) {
 	log := &faultyLog{}
-	follow(t, log, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
+	runTailer(t, log, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
 		time.Sleep(time.Second)
 		quicktest.Check(t, time.Since(tl.FreshAt()) < 100*time.Millisecond, quicktest.IsTrue)
 		quicktest.Check(t, tl.Reachable() && tl.CaughtUp() && tl.ReadFromLog(), quicktest.IsTrue)
@@ -126,7 +126,7 @@
 		tl.ConfirmFresh(tl.Next(), time.Now())
 		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0))
 		tl.ConfirmFresh(tl.Next()+1, time.Now().Add(time.Second))
-		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0), quicktest.Commentf("a peer that is ahead confirms nothing"))
+		quicktest.Check(t, time.Since(tl.FreshAt()), quicktest.Equals, time.Duration(0), quicktest.Commentf("a peer at another offset does not confirm freshness"))
 	})
 }
 
@@ -137,26 +137,27 @@
 		quicktest.Assert(t, err, quicktest.IsNil)
 		records = append(records, data)
 	}
-	kept := &journaler.Fold{}
-	kept.Apply(0, dispatch("0", "k0"))
-	kept.Apply(1, dispatch("1", "k1"))
-	state, err := kept.Snapshot()
+	earlier := &journaler.Fold{}
+	earlier.Apply(0, dispatch("0", "k0"))
+	earlier.Apply(1, dispatch("1", "k1"))
+	state, err := earlier.Snapshot()
 	quicktest.Assert(t, err, quicktest.IsNil)
 	checkpoint, err := proto.Marshal(&recorder.Record{ID: "c", Body: &recorder.Record_Checkpoint{Checkpoint: &recorder.Checkpoint{Next: 2, State: state}}})
 	quicktest.Assert(t, err, quicktest.IsNil)
 
-	// Offset 0 is gone; 1 to 3 are dispatches, the second of which cannot be decoded; the checkpoint reaches to 2.
+	// Offset 0 has expired. Offsets 1 to 3 are dispatches, of which the second cannot be decoded. The checkpoint covers
+	// the records before offset 2.
 	log := &faultyLog{first: 1, records: [][]byte{records[0], {0xff}, records[2], checkpoint}}
-	follow(t, log, func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold) {
+	runTailer(t, log, func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold) {
 		time.Sleep(time.Second)
 		quicktest.Check(t, tl.Next(), quicktest.Equals, identifier.Offset(5))
 		for key, known := range map[string]bool{"k0": true, "k1": true, "k2": false, "k3": true} {
 			quicktest.Check(t, fold.Entry(key) != nil, quicktest.Equals, known, quicktest.Commentf(key))
 		}
 	})
-	bare := &faultyLog{first: 1, records: records}
-	follow(t, bare, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
+	withoutCheckpoint := &faultyLog{first: 1, records: records}
+	runTailer(t, withoutCheckpoint, func(t *testing.T, tl *tailer.Tailer, _ *journaler.Fold) {
 		time.Sleep(time.Second)
-		quicktest.Check(t, tl.CaughtUp(), quicktest.IsFalse, quicktest.Commentf("without a checkpoint there is no state"))
+		quicktest.Check(t, tl.CaughtUp(), quicktest.IsFalse, quicktest.Commentf("the state cannot be complete without a checkpoint"))
 	})
 }
