--- a/internal/committer/committer.go
+++ b/internal/committer/committer.go
@@ -9,47 +9,57 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrFull is returned when too many records wait; the record was not appended.
+// ErrFull is returned when the queue is full; the record was not appended.
 var ErrFull = errors.New("commit queue full")
 
-// ErrUnconfirmed is returned when the caller stopped waiting; the record may still take effect.
+// ErrUnconfirmed is returned when the caller's context or Run ended before the append was confirmed; the record may
+// still take effect.
 var ErrUnconfirmed = errors.New("commit not confirmed")
 
-// Appender appends a batch and returns once it was read back.
+// Appender appends a batch and returns once all its records were read back.
 type Appender interface {
 	Append(ctx context.Context, records ...*recorder.Record) (identifier.Offset, error)
 }
 
 const (
-	queueLength  = 4096
+	// queueLength is the number of records that may wait for an append.
+	queueLength = 4096
+	// defaultBatch is the maximum number of records in one append where New is given none.
 	defaultBatch = 256
 )
 
-// Committer batches appends; use New.
+// Committer batches records into appends, one append at a time; use New.
 type Committer struct {
-	appender Appender
-	batch    int
-	queue    chan *commit
-	stopped  chan struct{}
-	appends  atomic.Int64
-	records  atomic.Int64
+	appender     Appender
+	maximumBatch int
+	queue        chan *commit
+	stopped      chan struct{}
+	appends      atomic.Int64
+	records      atomic.Int64
 }
 
+// commit is a queued record with its caller's context.
 type commit struct {
 	ctx    context.Context
 	record *recorder.Record
 	done   chan error
 }
 
-// New returns a committer that appends at most batch records at once, or a default number where batch is zero.
-func New(appender Appender, batch int) *Committer {
-	if batch == 0 {
-		batch = defaultBatch
+// New returns a Committer that appends at most maximumBatch records at once, or a default number where maximumBatch is zero.
+func New(appender Appender, maximumBatch int) *Committer {
+	if maximumBatch == 0 {
+		maximumBatch = defaultBatch
+	}
+	return &Committer{
+		appender:     appender,
+		maximumBatch: maximumBatch,
+		queue:        make(chan *commit, queueLength),
+		stopped:      make(chan struct{}),
 	}
-	return &Committer{appender: appender, batch: batch, queue: make(chan *commit, queueLength), stopped: make(chan struct{})}
 }
 
-// Commit appends one record with others and returns once it was read back; ErrFull means that it was not appended.
+// Commit queues a record for the next batch and returns once it was read back, or with the error of its append. ErrFull
+// means that it was not appended.
 func (c *Committer) Commit(ctx context.Context, r *recorder.Record) error {
 	w := &commit{ctx: ctx, record: r, done: make(chan error, 1)}
 	select {
@@ -71,7 +81,7 @@
 	return c.appends.Load(), c.records.Load()
 }
 
-// Run appends what waits until ctx ends; it is called once.
+// Run appends queued records until ctx ends. It must be called only once.
 func (c *Committer) Run(ctx context.Context) {
 	defer close(c.stopped)
 	for {
@@ -84,21 +94,22 @@
 	}
 }
 
-// gather takes all that waits, without those whose callers have gone.
+// gather returns a batch of the first commit and those already queued, without any whose context has ended.
 func (c *Committer) gather(first *commit) []*commit {
 	batch := []*commit{first}
-	for len(batch) < c.batch {
+	for len(batch) < c.maximumBatch {
 		select {
 		case w := <-c.queue:
 			batch = append(batch, w)
 		default:
-			return live(batch)
+			return removeEnded(batch)
 		}
 	}
-	return live(batch)
+	return removeEnded(batch)
 }
 
-func live(batch []*commit) []*commit {
+// removeEnded drops the commits whose context has ended and returns ErrUnconfirmed to their callers.
+func removeEnded(batch []*commit) []*commit {
 	kept := batch[:0]
 	for _, w := range batch {
 		if w.ctx.Err() != nil {
@@ -110,6 +121,7 @@
 	return kept
 }
 
+// flush appends a batch and returns the result to every caller in it.
 func (c *Committer) flush(ctx context.Context, batch []*commit) {
 	if len(batch) == 0 {
 		return
@@ -128,17 +140,18 @@
 	}
 }
 
-// limit ends an append when the most patient of its callers has given up.
+// limit returns a context with the latest deadline in the batch, or with none if any commit has none, so that an append
+// goes on as long as one of its callers may wait for it.
 func (c *Committer) limit(ctx context.Context, batch []*commit) (context.Context, context.CancelFunc) {
-	last, ok := batch[0].ctx.Deadline()
+	last, allHave := batch[0].ctx.Deadline()
 	for _, w := range batch[1:] {
-		d, has := w.ctx.Deadline()
-		ok = ok && has
+		d, hasDeadline := w.ctx.Deadline()
+		allHave = allHave && hasDeadline
 		if d.After(last) {
 			last = d
 		}
 	}
-	if !ok {
+	if !allHave {
 		return context.WithCancel(ctx)
 	}
 	return context.WithDeadline(ctx, last)
--- a/internal/committer/committer_test.go
+++ b/internal/committer/committer_test.go
@@ -17,7 +17,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// slowLog takes a fixed time for each append, as the platform's log does.
+// slowLog is an Appender with a fixed latency per append, like the platform's log.
 type slowLog struct {
 	latency time.Duration
 	err     error
@@ -34,41 +34,43 @@
 	}
 }
 
-// groupCommit offers records at a rate for ten seconds and returns appends and records a second and the latencies.
+// groupCommit commits perSecond records a second for ten seconds. It returns the appends and confirmed records per
+// second and percentiles of the latency.
 func groupCommit(t *testing.T, batch, perSecond int, latency time.Duration) (appends, records float64, p50, p95 time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := committer.New(slowLog{latency: latency}, batch)
-		var group, waiters sync.WaitGroup
-		group.Go(func() { c.Run(ctx) })
+		var wg, waiters sync.WaitGroup
+		wg.Go(func() { c.Run(ctx) })
 		var mu sync.Mutex
-		var took []time.Duration
+		var latencies []time.Duration
 		const seconds = 10
 		for range perSecond * seconds {
 			time.Sleep(time.Second / time.Duration(perSecond))
 			waiters.Go(func() {
-				limited, stop := context.WithTimeout(ctx, 1500*time.Millisecond)
-				defer stop()
-				began := time.Now()
-				if c.Commit(limited, &recorder.Record{}) == nil {
+				commitCtx, cancelCommit := context.WithTimeout(ctx, 1500*time.Millisecond)
+				defer cancelCommit()
+				started := time.Now()
+				if c.Commit(commitCtx, &recorder.Record{}) == nil {
 					mu.Lock()
-					took = append(took, time.Since(began))
+					latencies = append(latencies, time.Since(started))
 					mu.Unlock()
 				}
 			})
 		}
 		waiters.Wait()
 		cancel()
-		group.Wait()
-		slices.Sort(took)
+		wg.Wait()
+		slices.Sort(latencies)
 		a, _ := c.Counts()
-		appends, records = float64(a)/seconds, float64(len(took))/seconds
-		p50, p95 = took[len(took)/2], took[len(took)*95/100]
+		appends, records = float64(a)/seconds, float64(len(latencies))/seconds
+		p50, p95 = latencies[len(latencies)/2], latencies[len(latencies)*95/100]
 	})
 	return appends, records, p50, p95
 }
 
-// TestGroupCommit prints appends a second and added latency against the batch size, on virtual time.
+// TestGroupCommit logs appends per second and commit latency by load and batch size, in virtual time. With the largest
+// batch, only one append may run at a time and the latency must stay within three times that of an append.
 func TestGroupCommit(t *testing.T) {
 	const latency = 10 * time.Millisecond
 	for _, perSecond := range []int{21, 300, 2000} {
@@ -76,14 +78,14 @@
 			appends, records, p50, p95 := groupCommit(t, batch, perSecond, latency)
 			t.Logf("offered %5d/s, batch %3d: %6.1f appends/s, %7.1f records/s, p50 %s, p95 %s", perSecond, batch, appends, records, p50, p95)
 			if batch == 256 {
-				quicktest.Check(t, appends <= 101, quicktest.IsTrue, quicktest.Commentf("one append at a time"))
+				quicktest.Check(t, appends <= 101, quicktest.IsTrue, quicktest.Commentf("more than one append at a time"))
 				quicktest.Check(t, p95 <= 3*latency, quicktest.IsTrue, quicktest.Commentf("offered %d/s: p95 %s", perSecond, p95))
 			}
 		}
 	}
 }
 
-func TestFullQueueRefusesAtOnce(t *testing.T) {
+func TestFullQueueReturnsErrFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		c := committer.New(slowLog{latency: time.Hour}, 1)
@@ -103,21 +105,21 @@
 	})
 }
 
-func TestFailureReachesEveryWaiter(t *testing.T) {
+func TestAppendErrorReachesEveryCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		broken := errors.New("broken")
-		c := committer.New(slowLog{latency: time.Second, err: broken}, 0)
-		var group, waiters sync.WaitGroup
-		group.Go(func() { c.Run(ctx) })
+		appendErr := errors.New("broken")
+		c := committer.New(slowLog{latency: time.Second, err: appendErr}, 0)
+		var wg, waiters sync.WaitGroup
+		wg.Go(func() { c.Run(ctx) })
 		for i := range 20 {
 			waiters.Go(func() {
-				quicktest.Check(t, c.Commit(ctx, &recorder.Record{}), quicktest.ErrorIs, broken, quicktest.Commentf(fmt.Sprint(i)))
+				quicktest.Check(t, c.Commit(ctx, &recorder.Record{}), quicktest.ErrorIs, appendErr, quicktest.Commentf(fmt.Sprint(i)))
 			})
 		}
 		waiters.Wait()
 		cancel()
-		group.Wait()
-		quicktest.Check(t, c.Commit(context.Background(), &recorder.Record{}), quicktest.ErrorIs, committer.ErrUnconfirmed, quicktest.Commentf("after the end"))
+		wg.Wait()
+		quicktest.Check(t, c.Commit(context.Background(), &recorder.Record{}), quicktest.ErrorIs, committer.ErrUnconfirmed, quicktest.Commentf("after Run ended"))
 	})
 }
--- a/internal/committer/doc.go
+++ b/internal/committer/doc.go
@@ -1,2 +1,2 @@
-// Package committer appends records of many callers together, one batch at a time.
+// Package committer appends the records of concurrent callers to a stream in batches (group commit).
 package committer
