--- a/internal/accounter/accounter_test.go
+++ b/internal/accounter/accounter_test.go
@@ -18,7 +18,7 @@
 	return &recorder.Record{Body: &recorder.Record_UsageDelta{UsageDelta: d}}
 }
 
-func closing(window uint64) *recorder.Record {
+func windowClose(window uint64) *recorder.Record {
 	return &recorder.Record{Body: &recorder.Record_WindowClose{WindowClose: &recorder.WindowClose{Window: window}}}
 }
 
@@ -37,8 +37,9 @@
 	return sum
 }
 
-// TestEachUseCountsOnce lets an origin and two holders of its copies append in any order, doubled and late.
-func TestEachUseCountsOnce(t *testing.T) {
+// TestUsageCountsOnce checks that each request is counted exactly once when an origin and two mirrors append its usage in
+// any order, late and repeatedly.
+func TestUsageCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &accounter.Fold{}
 		l := &accounter.Ledger{Origin: "o"}
@@ -51,7 +52,7 @@
 		}
 		send := func(d *recorder.UsageDelta) {
 			sent = append(sent, d)
-			if rapid.Bool().Draw(t, "lands now") {
+			if rapid.Bool().Draw(t, "append now") {
 				apply(record(d))
 			}
 		}
@@ -81,7 +82,7 @@
 					apply(record(rapid.SampledFrom(sent).Draw(t, "late copy")))
 				}
 			case 6:
-				apply(closing(f.Window()))
+				apply(windowClose(f.Window()))
 			}
 		}
 		l.SetCounted(f.Counted("o"))
@@ -89,21 +90,22 @@
 			apply(record(d))
 		}
 		if total(f) != added {
-			t.Fatalf("%d of %d counted", total(f), added)
+			t.Fatalf("counted %d requests of %d", total(f), added)
 		}
 	})
 }
 
-// TestCopiesStandInForALostOrigin checks that what was held when the origin died counts once.
-func TestCopiesStandInForALostOrigin(t *testing.T) {
+// TestMirrorReplacesLostOrigin checks that usage mirrored before its origin was lost counts exactly once, even if the
+// copy is appended several times.
+func TestMirrorReplacesLostOrigin(t *testing.T) {
 	f := &accounter.Fold{}
 	l := &accounter.Ledger{Origin: "o"}
 	m := &accounter.Mirror{}
 	l.Add(requests(3))
 	first, _ := l.Unlogged()
 	l.Add(requests(4))
-	held, _ := l.Unlogged()
-	m.Hold(held)
+	mirrored, _ := l.Unlogged()
+	m.Hold(mirrored)
 	quicktest.Check(t, m.Overdue(time.Hour, f.Counted), quicktest.HasLen, 0)
 	f.Apply(0, record(first))
 	for offset := identifier.Offset(1); offset < 4; offset++ {
@@ -114,12 +116,12 @@
 	quicktest.Check(t, total(f), quicktest.Equals, int64(7))
 }
 
-func TestWindowsCloseOnceAndKeepTheirFigures(t *testing.T) {
+func TestWindowClosesOnceAndKeepsItsTotals(t *testing.T) {
 	f := &accounter.Fold{}
 	f.Apply(0, record(&recorder.UsageDelta{Origin: "o", Teams: []*recorder.TeamUsage{requests(2)}}))
-	f.Apply(1, closing(0))
+	f.Apply(1, windowClose(0))
 	f.Apply(2, record(&recorder.UsageDelta{Origin: "o", Teams: []*recorder.TeamUsage{requests(7)}}))
-	f.Apply(3, closing(0))
+	f.Apply(3, windowClose(0))
 	quicktest.Check(t, f.Window(), quicktest.Equals, uint64(1))
 	quicktest.Check(t, f.Closed(0).Teams[0].Requests, quicktest.Equals, int64(2))
 	quicktest.Check(t, f.Totals()[0].Requests, quicktest.Equals, int64(5))
@@ -135,7 +137,7 @@
 		}
 		fold := &accounter.Fold{}
 		fold.Apply(0, r)
-		fold.Apply(1, closing(0))
+		fold.Apply(1, windowClose(0))
 		fold.Apply(2, r)
 	})
 }
--- a/internal/accounter/doc.go
+++ b/internal/accounter/doc.go
@@ -1,2 +1,3 @@
-// Package accounter folds the Usage stream into windows and keeps the usage of this instance until the log has it.
+// Package accounter folds the Usage stream into usage windows, and keeps the usage that is not yet in the log: this
+// instance's own and copies of its peers'.
 package accounter
--- a/internal/accounter/fold.go
+++ b/internal/accounter/fold.go
@@ -11,14 +11,15 @@
 )
 
 const (
+	// keptReportedWindows is the number of latest windows that are kept after they were reported.
 	keptReportedWindows = 64
 )
 
 // Fold is the state of the Usage stream; the zero value is the state before the first record.
 //
-// A delta carries what its origin has counted since its start. Only what exceeds the figures already
-// counted for that origin is added, so copies that come twice, late or from a peer add nothing. A close
-// record fixes the open window's figures at its offset, the same at every reader.
+// A delta carries the totals of its origin since the origin's start. Only what exceeds the totals already counted for
+// that origin is added, so duplicates, late records and copies appended by a peer add nothing. A close record fixes the
+// totals of the open window at its offset, so that they are the same at every reader.
 type Fold struct {
 	state recorder.UsageState
 }
@@ -37,7 +38,7 @@
 	return proto.Unmarshal(state, &f.state)
 }
 
-// Counted returns a copy of what has been counted for an origin, by team.
+// Counted returns a copy of the usage counted for an origin, by team.
 func (f *Fold) Counted(origin string) map[string]*recorder.TeamUsage {
 	counted := map[string]*recorder.TeamUsage{}
 	for team, u := range f.state.Counted[origin].GetTeams() {
@@ -82,10 +83,11 @@
 	case *recorder.Record_WindowClose:
 		f.close(b.WindowClose.Window)
 	case *recorder.Record_WindowReported:
-		f.reported(b.WindowReported.Window)
+		f.markReported(b.WindowReported.Window)
 	}
 }
 
+// add adds the usage in a delta that was not yet counted for its origin.
 func (f *Fold) add(d *recorder.UsageDelta) {
 	if d.Origin == "" {
 		return
@@ -110,6 +112,7 @@
 	}
 }
 
+// close closes the open window; a close record for any other window has no effect.
 func (f *Fold) close(window uint64) {
 	if window != f.state.Window {
 		return
@@ -122,7 +125,8 @@
 	f.state.Window++
 }
 
-func (f *Fold) reported(window uint64) {
+// markReported marks a closed window as reported and drops old reported windows.
+func (f *Fold) markReported(window uint64) {
 	w := f.state.Closed[window]
 	if w == nil {
 		return
@@ -149,7 +153,7 @@
 	t.OutputTokens += u.OutputTokens
 }
 
-// Excess returns by how much the usage exceeds what was counted, or nil where it does not.
+// Excess returns by how much u exceeds the usage already counted, or nil if it does not.
 func Excess(u, counted *recorder.TeamUsage) *recorder.TeamUsage {
 	excess := &recorder.TeamUsage{
 		Team:         u.Team,
--- a/internal/accounter/ledger.go
+++ b/internal/accounter/ledger.go
@@ -7,24 +7,26 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// Ledger keeps this instance's usage until the log has it; Origin must be set.
+// Ledger keeps this instance's usage; Origin must be set.
 //
-// It only ever grows: what the log lacks is the excess over what the log has counted, whoever
-// appended that.
+// Its totals never decrease. The usage that is not yet in the log is their excess over the usage that the log has
+// counted for this origin, no matter which instance appended it.
 type Ledger struct {
 	Origin string
 
-	mu       sync.Mutex
-	totals   map[string]*recorder.TeamUsage
-	counted  map[string]*recorder.TeamUsage
-	version  uint64
-	acknowledged    uint64
-	mirrored bool
-	dirty    chan struct{}
-	changed  chan struct{}
+	mu      sync.Mutex
+	totals  map[string]*recorder.TeamUsage
+	counted map[string]*recorder.TeamUsage
+	// version is the number of calls of Add; acknowledged is the latest version of which a peer holds a copy.
+	version      uint64
+	acknowledged uint64
+	mirrored     bool
+	dirty        chan struct{}
+	// changed is closed when acknowledged or mirrored changes; it is nil while nobody waits.
+	changed chan struct{}
 }
 
-// Add counts usage.
+// Add adds usage to the totals.
 func (l *Ledger) Add(u *recorder.TeamUsage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,14 +41,15 @@
 	}
 }
 
-// Dirty signals that usage was added since the last signal.
+// Dirty returns a channel that receives a value after usage was added; one value may stand for several additions.
 func (l *Ledger) Dirty() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.dirtyChan()
 }
 
-// Sync waits until a peer holds all usage counted so far, or for the end of ctx; without a peer it returns at once.
+// Sync waits until a peer holds a copy of all usage added before the call, or until ctx ends and then returns its error.
+// Without a peer it returns at once.
 func (l *Ledger) Sync(ctx context.Context) error {
 	l.mu.Lock()
 	want := l.version
@@ -67,7 +70,7 @@
 	}
 }
 
-// SetMirrored tells whether there is a peer that holds copies.
+// SetMirrored sets whether there is a peer that can hold copies.
 func (l *Ledger) SetMirrored(mirrored bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,21 +78,22 @@
 	l.signal()
 }
 
-// Unlogged returns what the log lacks, as totals since the start, with the version of the ledger; nil where nothing is lacking.
+// Unlogged returns the totals of the teams that have usage not yet in the log, or nil if there is none, and the version
+// of the ledger.
 func (l *Ledger) Unlogged() (*recorder.UsageDelta, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Uncounted(l.Origin, l.totals, l.counted), l.version
 }
 
-// SetCounted takes note of what the log has counted for this instance.
+// SetCounted sets the usage that the log has counted for this instance.
 func (l *Ledger) SetCounted(counted map[string]*recorder.TeamUsage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counted = counted
 }
 
-// Acknowledge records that a peer holds the copies of a version.
+// Acknowledge records that a peer holds a copy of the usage up to a version.
 func (l *Ledger) Acknowledge(version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +101,7 @@
 	l.signal()
 }
 
-// Uncounted returns the totals that exceed what was counted, or nil.
+// Uncounted returns a delta with the totals of the teams whose usage exceeds what was counted, or nil if there is none.
 func Uncounted(origin string, totals, counted map[string]*recorder.TeamUsage) *recorder.UsageDelta {
 	d := &recorder.UsageDelta{Origin: origin}
 	for _, u := range sortedUsage(totals) {
@@ -125,6 +129,7 @@
 	return l.changed
 }
 
+// signal wakes the callers of Sync.
 func (l *Ledger) signal() {
 	if l.changed != nil {
 		close(l.changed)
--- a/internal/accounter/mirror.go
+++ b/internal/accounter/mirror.go
@@ -7,31 +7,32 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// Mirror keeps copies of other instances' usage and returns those of instances that fell silent; the zero value is empty.
+// Mirror keeps copies of other instances' usage, to be appended to the log in place of an instance that stopped sending.
+// The zero value is empty.
 type Mirror struct {
 	mu      sync.Mutex
-	origins map[string]*copies
+	origins map[string]*originCopy
 }
 
-// copies is the newest totals of one origin.
-type copies struct {
-	totals map[string]*recorder.TeamUsage
-	heard  time.Time
+// originCopy is the latest known totals of one origin.
+type originCopy struct {
+	totals     map[string]*recorder.TeamUsage
+	receivedAt time.Time
 }
 
-// Hold takes over an origin's totals; a delta without teams only shows that the origin lives.
+// Hold merges a delta into the copy of its origin; a delta without teams only shows that the origin is still running.
 func (m *Mirror) Hold(d *recorder.UsageDelta) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.origins == nil {
-		m.origins = map[string]*copies{}
+		m.origins = map[string]*originCopy{}
 	}
 	o := m.origins[d.GetOrigin()]
 	if o == nil {
-		o = &copies{totals: map[string]*recorder.TeamUsage{}}
+		o = &originCopy{totals: map[string]*recorder.TeamUsage{}}
 		m.origins[d.GetOrigin()] = o
 	}
-	o.heard = time.Now()
+	o.receivedAt = time.Now()
 	for _, u := range d.GetTeams() {
 		if excess := Excess(u, o.totals[u.Team]); excess != nil {
 			Add(o.totals, excess)
@@ -39,15 +40,16 @@
 	}
 }
 
-// Overdue returns what the log lacks of each origin that has been silent for at least silence.
+// Overdue returns the usage not yet in the log of each origin from which nothing was received for at least silence, and
+// drops the copies of those whose usage is all in the log.
 //
-// counted returns what the log has counted for an origin.
+// counted returns the usage that the log has counted for an origin.
 func (m *Mirror) Overdue(silence time.Duration, counted func(origin string) map[string]*recorder.TeamUsage) []*recorder.UsageDelta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var due []*recorder.UsageDelta
 	for origin, o := range m.origins {
-		if time.Since(o.heard) < silence {
+		if time.Since(o.receivedAt) < silence {
 			continue
 		}
 		d := Uncounted(origin, o.totals, counted(origin))
