--- a/internal/journaler/doc.go
+++ b/internal/journaler/doc.go
@@ -1,2 +1,3 @@
-// Package journaler folds the Journal stream, which decides who may send a request that must not run twice.
+// Package journaler folds the Journal stream, which decides which instance may send a request that must run
+// at most once.
 package journaler
--- a/internal/journaler/fold.go
+++ b/internal/journaler/fold.go
@@ -7,15 +7,16 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// RetentionOffsets is how many records an idempotency key is remembered for.
+// RetentionOffsets is the number of records after which an idempotency key expires.
 const RetentionOffsets = 200_000
 
 // Fold is the state of the Journal stream; the zero value is the state before the first record.
 //
-// The first dispatch of a key in stream order wins and only its writer may send the request.
+// The first dispatch of a key in stream order wins, and only its writer may send the request.
 type Fold struct {
 	state recorder.JournalState
-	order []keyAt
+	// byOffset lists the dispatched keys in the order in which they expire.
+	byOffset []keyOffset
 }
 
 // Next returns the offset after the last applied record.
@@ -29,15 +30,15 @@
 // Restore replaces the state by an encoded one.
 func (f *Fold) Restore(state []byte) error {
 	proto.Reset(&f.state)
-	f.order = nil
+	f.byOffset = nil
 	if err := proto.Unmarshal(state, &f.state); err != nil {
 		return err
 	}
-	f.order = keysByOffset(f.state.Entries)
+	f.byOffset = keysByOffset(f.state.Entries)
 	return nil
 }
 
-// Entry returns a copy of what is known of an idempotency key, or nil.
+// Entry returns a copy of the entry of an idempotency key, or nil.
 func (f *Fold) Entry(key string) *recorder.JournalEntry {
 	e := f.state.Entries[key]
 	if e == nil {
@@ -58,6 +59,7 @@
 	}
 }
 
+// dispatch adds an entry for the first dispatch of a key; later ones have no effect.
 func (f *Fold) dispatch(offset identifier.Offset, r *recorder.Record, d *recorder.Dispatch) {
 	if d.Key == "" || f.state.Entries[d.Key] != nil {
 		return
@@ -71,10 +73,10 @@
 		Digest:     d.Digest,
 		Offset:     uint64(offset),
 	}
-	f.order = append(f.order, keyAt{key: d.Key, offset: uint64(offset)})
+	f.byOffset = append(f.byOffset, keyOffset{key: d.Key, offset: uint64(offset)})
 }
 
-// result closes a dispatch; a released one was never sent, and its key may be dispatched again.
+// result sets the result of a dispatch. A released dispatch was never sent, so its key may be dispatched again.
 func (f *Fold) result(result *recorder.Result) {
 	e := f.state.Entries[result.Key]
 	if e == nil || e.DispatchID != result.DispatchID || e.Result != nil {
@@ -87,13 +89,15 @@
 	e.Result = result
 }
 
+// expire removes the keys that were dispatched at least RetentionOffsets before offset. A key that was released and
+// dispatched again keeps its newer entry.
 func (f *Fold) expire(offset identifier.Offset) {
-	for len(f.order) > 0 {
-		oldest := f.order[0]
+	for len(f.byOffset) > 0 {
+		oldest := f.byOffset[0]
 		if oldest.offset+RetentionOffsets > uint64(offset) {
 			return
 		}
-		f.order = f.order[1:]
+		f.byOffset = f.byOffset[1:]
 		e := f.state.Entries[oldest.key]
 		if e != nil && e.Offset == oldest.offset {
 			delete(f.state.Entries, oldest.key)
--- a/internal/journaler/fold_test.go
+++ b/internal/journaler/fold_test.go
@@ -22,8 +22,9 @@
 	return &recorder.Record{Body: &recorder.Record_Result{Result: r}}
 }
 
-// TestOneSenderPerKey lets processes dispatch, send, give up and release in any order, with late and doubled
-// appends; a process sends only if it reads back that its dispatch won, and never after it gave up.
+// TestOneSenderPerKey checks that a request is sent at most once when processes dispatch, send, give up and release its
+// key in any order, with late and repeated appends. A process sends only if it reads back that its dispatch won, and
+// never after it gave up.
 func TestOneSenderPerKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &journaler.Fold{}
@@ -42,7 +43,7 @@
 			d := dispatch(id, "k")
 			late = append(late, d)
 			if rapid.Bool().Draw(t, "gives up") {
-				// The dispatch may land at any time; its writer will never send.
+				// The dispatch may still be appended at any time; its writer never sends.
 				late = append(late, result(id, "k", true))
 				continue
 			}
@@ -53,12 +54,12 @@
 			}
 		}
 		if sends > 1 {
-			t.Fatalf("%d sends", sends)
+			t.Fatalf("request sent %d times", sends)
 		}
 	})
 }
 
-func TestReleaseOfAnotherDispatchIsVoid(t *testing.T) {
+func TestReleaseOfAnotherDispatchHasNoEffect(t *testing.T) {
 	f := &journaler.Fold{}
 	f.Apply(0, dispatch("1", "k"))
 	f.Apply(1, result("2", "k", true))
@@ -67,15 +68,15 @@
 	quicktest.Check(t, f.Entry("k"), quicktest.IsNil)
 }
 
-func TestKeysExpireByOffsetAlsoAfterARestore(t *testing.T) {
+func TestKeysExpireByOffsetAfterRestore(t *testing.T) {
 	f := &journaler.Fold{}
 	f.Apply(0, dispatch("1", "k"))
 	f.Apply(1, dispatch("2", "l"))
 	state, err := f.Snapshot()
 	quicktest.Assert(t, err, quicktest.IsNil)
-	g := &journaler.Fold{}
-	quicktest.Assert(t, g.Restore(state), quicktest.IsNil)
-	for _, fold := range []*journaler.Fold{f, g} {
+	restored := &journaler.Fold{}
+	quicktest.Assert(t, restored.Restore(state), quicktest.IsNil)
+	for _, fold := range []*journaler.Fold{f, restored} {
 		fold.Apply(journaler.RetentionOffsets, &recorder.Record{})
 		quicktest.Check(t, fold.Entry("k"), quicktest.IsNil)
 		quicktest.Check(t, fold.Entry("l"), quicktest.IsNotNil)
--- a/internal/journaler/keys.go
+++ b/internal/journaler/keys.go
@@ -7,18 +7,18 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// keyAt is a key with the offset of its dispatch.
-type keyAt struct {
+// keyOffset is an idempotency key with the offset of its dispatch.
+type keyOffset struct {
 	key    string
 	offset uint64
 }
 
-// keysByOffset returns the keys in the order in which they were dispatched.
-func keysByOffset(entries map[string]*recorder.JournalEntry) []keyAt {
-	keys := make([]keyAt, 0, len(entries))
+// keysByOffset returns the keys in the order of their dispatches.
+func keysByOffset(entries map[string]*recorder.JournalEntry) []keyOffset {
+	keys := make([]keyOffset, 0, len(entries))
 	for key, e := range entries {
-		keys = append(keys, keyAt{key: key, offset: e.Offset})
+		keys = append(keys, keyOffset{key: key, offset: e.Offset})
 	}
-	slices.SortFunc(keys, func(a, b keyAt) int { return cmp.Compare(a.offset, b.offset) })
+	slices.SortFunc(keys, func(a, b keyOffset) int { return cmp.Compare(a.offset, b.offset) })
 	return keys
 }
