--- a/internal/freshener/doc.go
+++ b/internal/freshener/doc.go
@@ -1,2 +1,3 @@
-// Package freshener decides how long an instance may serve on its configuration and when a change is in force everywhere.
+// Package freshener decides until when an instance may serve with the configuration it has, and when a configuration
+// change is in force at every instance.
 package freshener
--- a/internal/freshener/rule.go
+++ b/internal/freshener/rule.go
@@ -7,72 +7,81 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// The two rules of this file fit together.
+// ServeUntil and Acceptance.InForce together ensure that no instance serves without a change that is reported as in
+// force.
 //
-// A change counts as accepted only when a majority of the members has acknowledged it and, unless all
-// have and none was removed lately, the whole bound has passed since the majority was seen. A member
-// that was removed may go on for as long as the bound, and nobody asks it for an acknowledgement.
+// A change is in force only once a majority of the members has acknowledged it. Unless all members have, and none was
+// removed within the bound, the whole bound must also have passed since the majority was first seen: a removed member
+// may go on serving for up to the bound, and its acknowledgement is no longer asked for.
 //
-// An instance serves until the bound has passed since it knew that its configuration was whole:
-// by a read of the log, by a peer at the same offset that had read the log, or, where nobody reaches
-// the log, by answers of a majority none of which was ahead. Two majorities share a member, so a
-// change that was accepted was seen by one of those who answered, or came after its answer and then
-// waits for the bound.
+// An instance serves until the bound has passed since its configuration was last known to be complete: by its own read
+// of the log, by a peer at the same offset that had read the log, or, where no instance reaches the log, by the replies
+// of a majority of the members, none of which was ahead. Any two majorities share a member. So at least one member
+// that replied had either seen an accepted change already and was ahead, or acknowledged it after its reply, and the
+// change then waits for the bound.
 
-// Member is what an instance last heard of a member.
+// Member is an instance's latest knowledge of one member.
 type Member struct {
-	ID     identifier.InstanceID
-	Self   bool
+	ID   identifier.InstanceID
+	Self bool
+	// SentAt is when the request was sent to which the member last replied.
 	SentAt time.Time
-	Next   identifier.Offset
+	// Next is the offset after the last record of the configuration that the member has applied.
+	Next identifier.Offset
+	// Voting is true once the member has itself read the log since its start, because its earlier acknowledgements are
+	// lost with its memory.
 	Voting bool
-	Gone   bool
+	// Gone is true if the member's process is taken to have ended: the platform no longer lists it, or another incarnation
+	// replies at its address.
+	Gone bool
 }
 
-// View is what an instance knows when it decides whether to serve.
+// View is an instance's knowledge of its own configuration and of the members, the input of ServeUntil.
 type View struct {
+	// Joined is true if the instance is a member.
 	Joined  bool
 	Next    identifier.Offset
-	FreshAt   time.Time
+	FreshAt time.Time
 	Members []Member
 }
 
-// ServeUntil returns the instant at which the instance must stop serving.
+// ServeUntil returns the instant at which the instance must stop serving, or the zero time if it must not serve.
 func ServeUntil(now time.Time, bound time.Duration, v View) time.Time {
 	if !v.Joined {
 		return time.Time{}
 	}
-	known := v.FreshAt
-	if confirmed := majorityInstant(now, v); confirmed.After(known) {
-		known = confirmed
+	freshAt := v.FreshAt
+	if confirmed := majorityFreshAt(now, v); confirmed.After(freshAt) {
+		freshAt = confirmed
 	}
-	if known.IsZero() {
+	if freshAt.IsZero() {
 		return time.Time{}
 	}
-	return known.Add(bound)
+	return freshAt.Add(bound)
 }
 
-// majorityInstant returns the latest instant at which a majority of voting members was not ahead.
-func majorityInstant(now time.Time, v View) time.Time {
-	var heard []time.Time
+// majorityFreshAt returns the latest instant at which no voting member of some majority was ahead, or the zero time if
+// any member is ahead or too few have replied.
+func majorityFreshAt(now time.Time, v View) time.Time {
+	var sentAt []time.Time
 	for _, m := range v.Members {
 		if m.Self {
-			heard = append(heard, now)
+			sentAt = append(sentAt, now)
 			continue
 		}
 		if m.Next > v.Next {
 			return time.Time{}
 		}
 		if m.Voting && !m.SentAt.IsZero() {
-			heard = append(heard, m.SentAt)
+			sentAt = append(sentAt, m.SentAt)
 		}
 	}
 	quorum := len(v.Members)/2 + 1
-	if len(heard) < quorum {
+	if len(sentAt) < quorum {
 		return time.Time{}
 	}
-	slices.SortFunc(heard, func(a, b time.Time) int { return b.Compare(a) })
-	return heard[quorum-1]
+	slices.SortFunc(sentAt, func(a, b time.Time) int { return b.Compare(a) })
+	return sentAt[quorum-1]
 }
 
 // HeldByMajority reports whether a majority of the members holds the record at offset.
@@ -80,30 +89,33 @@
 	return countHolding(offset, members) >= len(members)/2+1
 }
 
-// Acceptance follows one change until it is in force everywhere; Offset, Bound and Margin must be set.
+// Acceptance tracks one change until it is in force at every instance; Offset, Bound and Margin must be set.
 type Acceptance struct {
-	Offset   identifier.Offset
-	Bound    time.Duration
-	Margin   time.Duration
-	majority time.Time
+	Offset identifier.Offset
+	Bound  time.Duration
+	// Margin is added to Bound, to allow for clock drift.
+	Margin time.Duration
+	// majorityAt is when a majority was first seen to hold the change.
+	majorityAt time.Time
 }
 
-// InForce reports whether no instance serves without the change any more; removed is when a member was last removed.
-func (a *Acceptance) InForce(now, removed time.Time, members []Member) bool {
+// InForce reports whether no instance serves without the change any more; removedAt is when a member was last removed.
+func (a *Acceptance) InForce(now, removedAt time.Time, members []Member) bool {
 	holding := countHolding(a.Offset, members)
 	if holding < len(members)/2+1 {
 		return false
 	}
-	if a.majority.IsZero() {
-		a.majority = now
+	if a.majorityAt.IsZero() {
+		a.majorityAt = now
 	}
 	wait := a.Bound + a.Margin
-	if holding == len(members) && now.Sub(removed) >= wait {
+	if holding == len(members) && now.Sub(removedAt) >= wait {
 		return true
 	}
-	return now.Sub(a.majority) >= wait
+	return now.Sub(a.majorityAt) >= wait
 }
 
+// countHolding counts the members that hold the record at offset. Members that are gone count too, as they do not serve.
 func countHolding(offset identifier.Offset, members []Member) int {
 	n := 0
 	for _, m := range members {
