--- a/internal/committer/committer.go
+++ b/internal/committer/committer.go
@@ -24,18 +24,19 @@
 const (
 	// queueLength is the number of records that may wait for an append.
 	queueLength = 4096
-	// defaultBatch is the maximum number of records in one append where New is given none.
+	// defaultBatch is the maximum number of records in one append if New is given none.
 	defaultBatch = 256
 )
 
 // Committer batches records into appends, one append at a time; use New.
 type Committer struct {
-	appender     Appender
-	maximumBatch int
-	queue        chan *commit
-	stopped      chan struct{}
-	appends      atomic.Int64
-	records      atomic.Int64
+	appender Appender
+	// batch is the maximum number of records in one append.
+	batch   int
+	queue   chan *commit
+	stopped chan struct{}
+	appends atomic.Int64
+	records atomic.Int64
 }
 
 // commit is a queued record with its caller's context.
@@ -45,16 +46,16 @@
 	done   chan error
 }
 
-// New returns a Committer that appends at most maximumBatch records at once, or a default number where maximumBatch is zero.
-func New(appender Appender, maximumBatch int) *Committer {
-	if maximumBatch == 0 {
-		maximumBatch = defaultBatch
+// New returns a Committer that appends at most batch records at once, or a default number if batch is zero.
+func New(appender Appender, batch int) *Committer {
+	if batch == 0 {
+		batch = defaultBatch
 	}
 	return &Committer{
-		appender:     appender,
-		maximumBatch: maximumBatch,
-		queue:        make(chan *commit, queueLength),
-		stopped:      make(chan struct{}),
+		appender: appender,
+		batch:    batch,
+		queue:    make(chan *commit, queueLength),
+		stopped:  make(chan struct{}),
 	}
 }
 
@@ -97,7 +98,7 @@
 // gather returns a batch of the first commit and those already queued, without any whose context has ended.
 func (c *Committer) gather(first *commit) []*commit {
 	batch := []*commit{first}
-	for len(batch) < c.maximumBatch {
+	for len(batch) < c.batch {
 		select {
 		case w := <-c.queue:
 			batch = append(batch, w)
--- a/internal/freshener/rule.go
+++ b/internal/freshener/rule.go
@@ -16,9 +16,9 @@
 //
 // An instance serves until the bound has passed since its configuration was last known to be complete: by its own read
 // of the log, by a peer at the same offset that had read the log, or, where no instance reaches the log, by the replies
-// of a majority of the members, none of which was ahead. Any two majorities share a member. So at least one member
-// that replied had either seen an accepted change already and was ahead, or acknowledged it after its reply, and the
-// change then waits for the bound.
+// of a majority of the members, none of which was ahead, that is, at a later offset. Any two majorities share a member.
+// So at least one member that replied had either seen an accepted change already and was ahead, or acknowledged it after
+// its reply, and the change then waits for the bound.
 
 // Member is an instance's latest knowledge of one member.
 type Member struct {
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -86,13 +86,13 @@
 		copies  int
 		appends int
 	}{
-		"acknowledged":                {nil, nil, 1, 1},
+		"answered":                    {nil, nil, 1, 1},
 		"took effect, response lost":  {func(int) (bool, error) { return true, lost }, nil, 1, 1},
 		"no effect at first":          {func(n int) (bool, error) { return n > 2, lost }, nil, 1, 3},
 		"refused":                     {func(int) (bool, error) { return false, provider.ErrRefused }, provider.ErrRefused, 0, 1},
 		"no effect until the timeout": {func(int) (bool, error) { return false, lost }, tailer.ErrUnconfirmed, 0, 0},
 		"refused, but took effect":    {func(int) (bool, error) { return true, provider.ErrRefused }, nil, 1, 1},
-		"acknowledged without effect": {func(n int) (bool, error) { return n > 1, nil }, nil, 1, 2},
+		"answered without effect":     {func(n int) (bool, error) { return n > 1, nil }, nil, 1, 2},
 	} {
 		log := &faultyLog{fail: tc.fail}
 		runTailer(t, log, func(t *testing.T, tl *tailer.Tailer, fold *journaler.Fold) {
