--- a/internal/accounter/fold.go
+++ b/internal/accounter/fold.go
@@ -32,7 +32,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&f.state)
 }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state with an encoded one.
 func (f *Fold) Restore(state []byte) error {
 	proto.Reset(&f.state)
 	return proto.Unmarshal(state, &f.state)
@@ -87,7 +87,7 @@
 	}
 }
 
-// add adds the usage in a delta that was not yet counted for its origin.
+// add counts the usage by which a delta exceeds what was already counted for its origin.
 func (f *Fold) add(d *recorder.UsageDelta) {
 	if d.Origin == "" {
 		return
--- a/internal/journaler/fold.go
+++ b/internal/journaler/fold.go
@@ -27,7 +27,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&f.state)
 }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state with an encoded one.
 func (f *Fold) Restore(state []byte) error {
 	proto.Reset(&f.state)
 	f.byOffset = nil
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -133,7 +133,7 @@
 	return t.Fold.Next()
 }
 
-// InstallSnapshot replaces the state by a peer's if that is newer. freshAt is when the peer's state was known to
+// InstallSnapshot replaces the state with a peer's if that is newer. freshAt is when the peer's state was known to
 // contain the whole stream.
 func (t *Tailer) InstallSnapshot(next identifier.Offset, state []byte, freshAt time.Time) error {
 	t.mu.Lock()
