--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -21,7 +21,7 @@
 // start, because what an earlier incarnation acknowledged is lost with its memory.
 func (e *Entry) beat() *messenger.Heartbeat {
 	age := maximumFreshAge
-	if fresh := e.config.Fresh(); !fresh.IsZero() {
+	if fresh := e.config.FreshAt(); !fresh.IsZero() {
 		age = min(age, time.Since(fresh))
 	}
 	beat := &messenger.Heartbeat{
@@ -29,7 +29,7 @@
 		Incarnation:          e.member.Incarnation,
 		ConfigNext:           uint64(e.config.Next()),
 		FreshAgeMilliseconds: age.Milliseconds() + 1,
-		Voting:               e.config.ReadSelf(),
+		Voting:               e.config.ReadFromLog(),
 		Leaving:              e.leaving.Load(),
 		Hears:                e.observer.Hears(addressSilence),
 	}
@@ -55,10 +55,10 @@
 	if !e.joined() {
 		return false
 	}
-	if now.Before(e.config.Fresh().Add(bound)) {
+	if now.Before(e.config.FreshAt().Add(bound)) {
 		return true
 	}
-	v := freshener.View{Joined: true, Next: e.config.Next(), Fresh: e.config.Fresh(), Members: e.observer.View()}
+	v := freshener.View{Joined: true, Next: e.config.Next(), FreshAt: e.config.FreshAt(), Members: e.observer.View()}
 	return now.Before(freshener.ServeUntil(now, bound, v))
 }
 
@@ -72,7 +72,7 @@
 			return
 		}
 		evicted := !memberAt.IsZero() && time.Since(memberAt) < rejoinAfter
-		if evicted || e.leaving.Load() || !e.config.ReadSelf() {
+		if evicted || e.leaving.Load() || !e.config.ReadFromLog() {
 			return
 		}
 		if err := e.admin.Join(ctx, e.member); err != nil {
