--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -50,59 +50,60 @@
 //
 //	platform log --read--> tailers (Config, Control, Usage, Journal) --fold--> views
 //	                            |                                               |
-//	                            +--events--> box --> tracker (targets, roles)   |
+//	                            +--events--> tracker (targets, roles)           |
 //	                                                                            v
 //	callers --HTTP--> server --> relayer --choose--> tracker --HTTP--> targets
 //	                                |  \--dispatch, result--> committer --append--> Journal
 //	                                \--usage--> ledger --hold--> peer;  --append--> Usage
 //
-//	peers <--heartbeats (offsets, rates)--> observer --> serving instant, shares, acceptance
+//	peers <--heartbeats (offsets, rates)--> observer --> freshness, fair shares, acceptance of changes
 //	lease holder --> placement and orders, usage windows and reports, checkpoints, evictions
 
 // Entry is one entry instance; use New.
 type Entry struct {
-	settings    *parser.Settings
-	network     networker.Network
-	logger      *zap.Logger
-	member      *recorder.Member
-	platform    *provider.Provider
-	http        *http.Client
-	once        *http.Client
-	metrics     tally.Scope
-	exporter    *exporter.Exporter
-	box         signaler.Box
-	explain     func(identifier.RequestID) []string
-	config      *tailer.Tailer
-	control     *tailer.Tailer
-	usage       *tailer.Tailer
-	journal     *tailer.Tailer
-	configFold  configurator.Fold
-	controlFold authorizer.Fold
-	usageFold   accounter.Fold
-	journalFold journaler.Fold
-	view        atomic.Pointer[configurator.View]
-	removed     atomic.Int64
-	leaving     atomic.Bool
-	leaveOnce   sync.Once
-	stopping    atomic.Int64
-	inFlight    atomic.Int64
-	peers       *exchanger.Client
-	observer    *observer.Observer
-	admin       *administrator.Administrator
-	tracker     *tracker.Tracker
-	ledger      accounter.Ledger
-	mirror      accounter.Mirror
-	meter       limiter.Meter
-	shares      shares
-	committer   *committer.Committer
-	holder      *holder.Holder
-	orderer     *orderer.Orderer
-	reporter    *reporter.Reporter
-	relayer     *relayer.Relayer
-	placement   placement
+	settings        *parser.Settings
+	network         networker.Network
+	logger          *zap.Logger
+	member          *recorder.Member
+	platform        *provider.Provider
+	http            *http.Client
+	noKeepAliveHTTP *http.Client
+	metrics         tally.Scope
+	exporter        *exporter.Exporter
+	pendingEvents   signaler.Box
+	explain         func(identifier.RequestID) []string
+	config          *tailer.Tailer
+	control         *tailer.Tailer
+	usage           *tailer.Tailer
+	journal         *tailer.Tailer
+	configFold      configurator.Fold
+	controlFold     authorizer.Fold
+	usageFold       accounter.Fold
+	journalFold     journaler.Fold
+	view            atomic.Pointer[configurator.View]
+	removedAt       atomic.Int64 // Unix nanoseconds of the last removal of a member
+	leaving         atomic.Bool
+	leaveOnce       sync.Once
+	stopping        atomic.Int64 // Unix nanoseconds at which a planned stop began to wait for open requests
+	inFlight        atomic.Int64
+	peers           *exchanger.Client
+	observer        *observer.Observer
+	admin           *administrator.Administrator
+	tracker         *tracker.Tracker
+	ledger          accounter.Ledger
+	mirror          accounter.Mirror
+	meter           limiter.Meter
+	shares          shares
+	committer       *committer.Committer
+	holder          *holder.Holder
+	orderer         *orderer.Orderer
+	reporter        *reporter.Reporter
+	relayer         *relayer.Relayer
+	placement       placement
 }
 
-// New prepares an entry instance; explain returns kept decision lines and may be nil.
+// New returns an entry instance that is not running yet. explain returns the retained decision log lines of a
+// request and may be nil.
 func New(settings *parser.Settings, network networker.Network, logger *zap.Logger, explain func(identifier.RequestID) []string) *Entry {
 	e := &Entry{settings: settings, network: network, logger: logger, explain: explain, exporter: &exporter.Exporter{}}
 	if e.explain == nil {
@@ -116,7 +117,7 @@
 		Zone:        string(settings.Zone),
 	}
 	e.http = networker.Client(network, true)
-	e.once = networker.Client(network, false)
+	e.noKeepAliveHTTP = networker.Client(network, false)
 	e.platform = &provider.Provider{Base: settings.Platform, HTTP: e.http}
 	e.view.Store(configurator.NewView(&recorder.ConfigState{}))
 	e.wireStreams()
@@ -128,10 +129,10 @@
 
 func (e *Entry) wireStreams() {
 	e.config = e.newTailer(streamConfig, &e.configFold, e.applyConfig)
-	e.control = e.newTailer(streamControl, &e.controlFold, func() { e.box.Set(eventControl, nil) })
+	e.control = e.newTailer(streamControl, &e.controlFold, func() { e.pendingEvents.Set(eventControl, nil) })
 	e.usage = e.newTailer(streamUsage, &e.usageFold, nil)
 	e.journal = e.newTailer(streamJournal, &e.journalFold, nil)
-	e.committer = committer.New(e.journal, journalBatch)
+	e.committer = committer.New(e.journal, journalBatchRecords)
 }
 
 func (e *Entry) newTailer(stream identifier.StreamID, fold tailer.Fold, applied func()) *tailer.Tailer {
@@ -141,10 +142,11 @@
 	}
 }
 
-// origin names this incarnation of the instance.
+// origin identifies this incarnation of the instance in the log.
 func (e *Entry) origin() string { return e.member.Instance + "/" + e.member.Incarnation }
 
-// applyConfig puts a configuration in force; it runs before the read that brought it counts as fresh.
+// applyConfig puts the folded configuration in force. It runs before the read that delivered the configuration counts
+// as fresh.
 func (e *Entry) applyConfig() {
 	old := e.view.Load().State
 	state := e.configFold.State()
@@ -152,12 +154,13 @@
 		"offset %d version %d after offset %d version %d", state.Next, state.Version, old.Next, old.Version)
 	e.view.Store(configurator.NewView(state))
 	if removedMember(old, state) {
-		e.removed.Store(time.Now().UnixNano())
+		e.removedAt.Store(time.Now().UnixNano())
 	}
-	e.box.Set(eventConfig, nil)
+	e.pendingEvents.Set(eventConfig, nil)
 }
 
-// removedMember reports whether an incarnation that was a member is one no more; it may still serve for a while.
+// removedMember reports whether an incarnation that is a member in old is no longer one in state. A removed
+// incarnation may still serve for a while.
 func removedMember(old, state *recorder.ConfigState) bool {
 	for id, m := range old.GetMembers() {
 		if state.GetMembers()[id].GetIncarnation() != m.Incarnation {
@@ -172,11 +175,11 @@
 	e.observer = &observer.Observer{
 		Self: e.member, Config: e.config, Caller: e.peers, Interval: e.settings.Timing.Heartbeat,
 		Members: func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
-		Beat:    e.beat,
+		Beat:    e.heartbeat,
 	}
 	e.admin = &administrator.Administrator{
 		Config: e.config, Fold: &e.configFold, Members: e.observer.View, Logger: e.logger,
-		Removed:   func() time.Time { return time.Unix(0, e.removed.Load()) },
+		Removed:   func() time.Time { return time.Unix(0, e.removedAt.Load()) },
 		Freshness: e.settings.Timing.Freshness, Margin: e.settings.Timing.DriftMargin,
 	}
 }
@@ -186,8 +189,8 @@
 	e.ledger.Origin = e.origin()
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
-		Budget: &retrier.Budget{Ratio: retryShare, Burst: retryReserve}, Journal: journalOf{e},
-		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
+		Budget: &retrier.Budget{Ratio: retryRatio, Burst: retryBurst}, Journal: relayerJournal{e},
+		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.noKeepAliveHTTP, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
 
@@ -199,7 +202,7 @@
 	}
 	e.orderer = &orderer.Orderer{
 		Scope: scopeFleet, Sender: e.origin(), Authority: e.holder, Control: e.control, Fold: &e.controlFold,
-		Platform: e.platform, HTTP: e.http, Timeout: t.OrderTimeout, DrainNotice: drainNotice, Address: e.addressOf, Logger: e.logger,
+		Platform: e.platform, HTTP: e.http, Timeout: t.OrderTimeout, DrainNotice: drainNotice, Address: e.targetAddress, Logger: e.logger,
 	}
 	e.reporter = &reporter.Reporter{
 		Sender: e.origin(), Authority: e.holder, Usage: e.usage, Fold: &e.usageFold,
@@ -207,7 +210,7 @@
 	}
 }
 
-// Run serves until stop ends, then leaves gracefully; it returns at once where kill ends.
+// Run serves until stop is canceled and then shuts down gracefully. If kill is canceled, it returns at once.
 func (e *Entry) Run(stop, kill context.Context) error {
 	lis, err := e.network.Listen(e.settings.Listen)
 	if err != nil {
@@ -224,15 +227,15 @@
 	e.relayer.Metrics = scope
 	background, cancel := context.WithCancel(kill)
 	defer cancel()
-	authority, yield := context.WithCancel(background)
-	defer yield()
+	dutyContext, stopDuties := context.WithCancel(background)
+	defer stopDuties()
 	var group sync.WaitGroup
-	e.start(background, authority, peerLis, &group)
-	err = e.serve(stop, kill, lis, yield)
+	e.start(background, dutyContext, peerLis, &group)
+	err = e.serve(stop, kill, lis, stopDuties)
 	if kill.Err() == nil {
 		e.relayer.Drain()
 		e.flushUsage(kill)
-		e.depart(kill)
+		e.evictSelf(kill)
 	}
 	cancel()
 	group.Wait()
@@ -241,27 +244,27 @@
 	return err
 }
 
-// start runs each duty on a goroutine of its own.
-func (e *Entry) start(background, authority context.Context, peerLis net.Listener, group *sync.WaitGroup) {
+// start runs each background loop on its own goroutine. The loops that act as lease holder end with dutyContext.
+func (e *Entry) start(background, dutyContext context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := exchanger.ForHandler(peerHandler{e}, e.logger)
-	for _, duty := range []func(context.Context){
+	for _, loop := range []func(context.Context){
 		e.config.Run, e.control.Run, e.usage.Run, e.journal.Run,
 		e.observer.Run, e.tracker.Run, e.committer.Run,
 		e.runEvents, e.runMembership, e.runList,
 		e.runMirror, e.runUsage, e.runTakeover, e.runGauges,
 		func(ctx context.Context) { peerServer.Serve(ctx, peerLis) },
 	} {
-		group.Go(func() { duty(background) })
+		group.Go(func() { loop(background) })
 	}
-	for _, duty := range []func(context.Context){
+	for _, loop := range []func(context.Context){
 		e.holder.Run, e.runOrders, e.runReports, e.runCheckpoints, e.runEvictions,
 	} {
-		group.Go(func() { duty(authority) })
+		group.Go(func() { loop(dutyContext) })
 	}
 }
 
-// serve answers callers until stop ends and the last request is answered.
-func (e *Entry) serve(stop, kill context.Context, lis net.Listener, yield func()) error {
+// serve handles requests until stop is canceled and the last request has been answered.
+func (e *Entry) serve(stop, kill context.Context, lis net.Listener, stopDuties func()) error {
 	limits := e.settings.Limits
 	srv := khttp.NewServer(
 		khttp.Listener(networker.LimitListener(lis, limits.Connections)),
@@ -280,9 +283,9 @@
 		kratos.Signal(syscall.SIGTERM, os.Interrupt),
 		kratos.StopTimeout(e.settings.Timing.Stop),
 		kratos.BeforeStop(func(context.Context) error {
-			// A signal and the end of stop may both come here; the later one waits for the earlier.
+			// Both a signal and the end of stop can trigger this; the second call waits for the first.
 			e.leaveOnce.Do(func() {
-				e.leave(kill, yield)
+				e.leave(kill, stopDuties)
 				e.stopping.Store(time.Now().UnixNano())
 			})
 			return nil
@@ -301,15 +304,16 @@
 	return err
 }
 
-// assertAllAnswered checks that a planned stop that was not given up ended with no request under way.
+// assertAllAnswered asserts that a planned stop ended with no request in flight, unless the instance was killed or
+// reached the stop timeout.
 func (e *Entry) assertAllAnswered(kill context.Context) {
 	stopping := time.Since(time.Unix(0, e.stopping.Load()))
 	gaveUp := kill.Err() != nil || stopping >= e.settings.Timing.Stop
 	open := e.inFlight.Load()
-	asserter.That(gaveUp || open == 0, asserter.PlannedStopCutsNothing, "%d requests under way", open)
+	asserter.That(gaveUp || open == 0, asserter.PlannedStopCutsNothing, "%d requests in flight", open)
 }
 
-// countInFlight counts the requests under way.
+// countInFlight counts the requests that h is handling.
 func (e *Entry) countInFlight(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.inFlight.Add(1)
@@ -326,21 +330,21 @@
 	return e.countInFlight(s.Handler())
 }
 
-// leave yields the lease, announces the departure and waits until no caller has this address cached.
-func (e *Entry) leave(ctx context.Context, yield func()) {
+// leave releases the lease, announces the departure and waits until no caller has this address cached.
+func (e *Entry) leave(ctx context.Context, stopDuties func()) {
 	e.leaving.Store(true)
 	e.logger.Info("leaving")
-	yield()
+	stopDuties()
 	announce, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := e.admin.Leave(announce, e.member.Instance, e.member.Incarnation); err != nil {
-		e.logger.Info("leave not announced in the log", zap.Error(err))
+		e.logger.Info("failed to announce leave in the log", zap.Error(err))
 	}
 	sleeper.Sleep(ctx, e.settings.Timing.AddressLifetime+4*e.settings.Timing.Heartbeat)
 }
 
-// depart removes this instance from the membership.
-func (e *Entry) depart(ctx context.Context) {
+// evictSelf removes this instance from the members; it retries until it succeeds or times out.
+func (e *Entry) evictSelf(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finalFlushTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -351,14 +355,14 @@
 		if _, ok := e.view.Load().State.GetMembers()[e.member.Instance]; !ok {
 			return
 		}
-		sleeper.Sleep(ctx, joinRetry)
+		sleeper.Sleep(ctx, joinRetryInterval)
 	}
 }
 
-// runEvents hands configuration and roles to the tracker.
+// runEvents passes changes of targets, members and roles to the tracker.
 func (e *Entry) runEvents(ctx context.Context) {
 	for {
-		events, err := e.box.Wait(ctx)
+		events, err := e.pendingEvents.Wait(ctx)
 		if err != nil {
 			return
 		}
@@ -371,7 +375,7 @@
 	}
 }
 
-// every runs f at once and then at each interval until ctx ends.
+// every runs f immediately and then at each interval until ctx ends.
 func every(ctx context.Context, interval time.Duration, f func(ctx context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/runner/doc.go
+++ b/internal/runner/doc.go
@@ -1,2 +1,3 @@
-// Package runner is the core of an entry instance: it wires the duties together and runs them until the instance stops.
+// Package runner is the core of an entry instance: it wires the components together and runs them until the
+// instance stops.
 package runner
--- a/internal/runner/duties.go
+++ b/internal/runner/duties.go
@@ -12,7 +12,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// runOrders raises the fence when the lease is new, finishes open orders and orders what the placement wants.
+// runOrders raises the fencing number at the targets when the lease is new, resumes open orders and starts the orders
+// that the placement needs.
 func (e *Entry) runOrders(ctx context.Context) {
 	var raised identifier.Fence
 	every(ctx, dutyInterval, func(ctx context.Context) {
@@ -21,19 +22,19 @@
 			return
 		}
 		if raised != fence {
-			if err := e.orderer.RaiseFence(ctx, fence, e.checkingTargets()); err != nil {
-				e.logger.Info("fence not raised everywhere", zap.Error(err))
+			if err := e.orderer.RaiseFence(ctx, fence, e.fenceCheckingTargets()); err != nil {
+				e.logger.Info("fencing number not raised at all targets", zap.Error(err))
 			}
 			raised = fence
 		}
 		for _, order := range e.orderer.OpenOrders() {
 			e.startOrder(order, func() error { return e.orderer.Resume(ctx, order) })
 		}
-		e.place(ctx)
+		e.updatePlacement(ctx)
 	})
 }
 
-func (e *Entry) checkingTargets() []identifier.TargetID {
+func (e *Entry) fenceCheckingTargets() []identifier.TargetID {
 	var list []identifier.TargetID
 	for _, t := range e.fleet() {
 		if t.Kind == recorder.TargetKind_Engine && t.ChecksFence {
@@ -43,7 +44,7 @@
 	return list
 }
 
-// runReports closes a usage window at each interval and reports the closed ones.
+// runReports closes a usage window at each interval and reports the closed windows to the platform.
 func (e *Entry) runReports(ctx context.Context) {
 	var closedAt time.Time
 	every(ctx, dutyInterval, func(ctx context.Context) {
@@ -61,32 +62,32 @@
 			closedAt = time.Now()
 		}
 		if err := e.reporter.Report(ctx, fence); err != nil {
-			e.logger.Info("report failed", zap.Error(err))
+			e.logger.Info("usage report failed", zap.Error(err))
 		}
 	})
 }
 
-// runCheckpoints re-appends the folded states well before the records they come from expire.
+// runCheckpoints appends checkpoints of the folded states well before the records that they summarize expire.
 func (e *Entry) runCheckpoints(ctx context.Context) {
 	streams := []*tailer.Tailer{e.config, e.control, e.usage, e.journal}
-	done := make([]identifier.Offset, len(streams))
-	var at time.Time
+	checkpointed := make([]identifier.Offset, len(streams))
+	var lastRun time.Time
 	every(ctx, dutyInterval, func(ctx context.Context) {
 		if _, _, err := e.holder.Authority(); err != nil {
 			return
 		}
-		due := time.Since(at) >= checkpointInterval
+		due := time.Since(lastRun) >= checkpointInterval
 		for i, t := range streams {
 			next := t.Next()
-			if next <= done[i]+1 || !due && next < done[i]+checkpointRecords {
+			if next <= checkpointed[i]+1 || !due && next < checkpointed[i]+checkpointRecords {
 				continue
 			}
 			if e.checkpoint(ctx, t) {
-				done[i] = next
+				checkpointed[i] = next
 			}
 		}
 		if due {
-			at = time.Now()
+			lastRun = time.Now()
 		}
 	})
 }
@@ -101,15 +102,15 @@
 	return err == nil
 }
 
-// fleet returns the targets of the inventory and those that orders to the platform brought.
+// fleet returns the targets in the inventory and the targets acquired from the platform.
 func (e *Entry) fleet() []*recorder.Target {
 	var acquired []*recorder.Target
 	e.control.Query(func() { acquired = e.controlFold.Acquired() })
 	return slices.Concat(e.view.Load().State.GetInventory().GetTargets(), acquired)
 }
 
-// addressOf returns the address of a target in force.
-func (e *Entry) addressOf(id identifier.TargetID) (string, bool) {
+// targetAddress returns the address of a target in the fleet.
+func (e *Entry) targetAddress(id identifier.TargetID) (string, bool) {
 	targets := e.fleet()
 	i := slices.IndexFunc(targets, func(t *recorder.Target) bool { return t.ID == string(id) })
 	if i < 0 {
@@ -118,7 +119,8 @@
 	return targets[i].Address, true
 }
 
-// roles returns the role of each engine whose last order was carried out, and the targets that an open order drains.
+// roles returns the role that each engine was last assigned by a completed order, and the targets that an open order
+// drains.
 func (e *Entry) roles() (roles map[identifier.TargetID]recorder.Role, draining map[identifier.TargetID]bool) {
 	roles = map[identifier.TargetID]recorder.Role{}
 	draining = map[identifier.TargetID]bool{}
--- a/internal/runner/journal.go
+++ b/internal/runner/journal.go
@@ -6,23 +6,24 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// journalOf is the journal as the relayer needs it.
-type journalOf struct{ e *Entry }
+// relayerJournal gives the relayer access to the journal.
+type relayerJournal struct{ e *Entry }
 
-// Ready reports whether dispatches can be recorded now.
-func (j journalOf) Ready() bool { return j.e.journal.CaughtUp() && j.e.journal.Reachable() }
+// Ready reports whether dispatches can be recorded now: the log is reachable and the journal has caught
+// up with it once.
+func (j relayerJournal) Ready() bool { return j.e.journal.CaughtUp() && j.e.journal.Reachable() }
 
-// Entry returns what is known of a key, or nil.
-func (j journalOf) Entry(key string) *recorder.JournalEntry {
+// Entry returns the journal entry of an idempotency key, or nil.
+func (j relayerJournal) Entry(key string) *recorder.JournalEntry {
 	var entry *recorder.JournalEntry
 	j.e.journal.Query(func() { entry = j.e.journalFold.Entry(key) })
 	return entry
 }
 
-// Commit appends a record with others and returns once it was read back.
-func (j journalOf) Commit(ctx context.Context, r *recorder.Record) error {
+// Commit appends a record as part of a batch and returns once it has been read back.
+func (j relayerJournal) Commit(ctx context.Context, r *recorder.Record) error {
 	return j.e.committer.Commit(ctx, r)
 }
 
-// NewRecord returns a record of this incarnation under a fresh id.
-func (j journalOf) NewRecord() *recorder.Record { return j.e.journal.NewRecord() }
+// NewRecord returns a record of this incarnation with a new id.
+func (j relayerJournal) NewRecord() *recorder.Record { return j.e.journal.NewRecord() }
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -17,42 +17,43 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// beat returns this instance's heartbeat. It votes only once it has read the log itself since its
-// start, because what an earlier incarnation acknowledged is lost with its memory.
-func (e *Entry) beat() *messenger.Heartbeat {
+// heartbeat returns this instance's heartbeat. Voting is set only after this incarnation has read the log itself,
+// because it does not know which offsets an earlier incarnation acknowledged.
+func (e *Entry) heartbeat() *messenger.Heartbeat {
 	age := maximumFreshAge
 	if fresh := e.config.Fresh(); !fresh.IsZero() {
 		age = min(age, time.Since(fresh))
 	}
-	beat := &messenger.Heartbeat{
+	heartbeat := &messenger.Heartbeat{
 		Instance:             e.member.Instance,
 		Incarnation:          e.member.Incarnation,
 		ConfigNext:           uint64(e.config.Next()),
 		FreshAgeMilliseconds: age.Milliseconds() + 1,
 		Voting:               e.config.ReadSelf(),
 		Leaving:              e.leaving.Load(),
-		Hears:                e.observer.Hears(addressSilence),
+		Hears:                e.observer.Hears(peerSilenceTimeout),
 	}
-	for subject, rate := range e.meter.Rates() {
-		beat.Rates = append(beat.Rates, &messenger.TeamRate{
-			Team: string(subject.Team), Model: string(subject.Model),
+	for key, rate := range e.meter.Rates() {
+		heartbeat.Rates = append(heartbeat.Rates, &messenger.TeamRate{
+			Team: string(key.Team), Model: string(key.Model),
 			PromptTokensPerSecond: rate.Prompt, OutputTokensPerSecond: rate.Output,
 		})
 	}
-	return beat
+	return heartbeat
 }
 
-// joined reports whether this incarnation is a member.
-func (e *Entry) joined() bool {
+// isMember reports whether this incarnation is a member.
+func (e *Entry) isMember() bool {
 	m := e.view.Load().State.GetMembers()[e.member.Instance]
 	return m != nil && m.Incarnation == e.member.Incarnation
 }
 
-// serving reports whether the configuration is surely current enough to serve callers.
+// serving reports whether this instance may serve: it is a member, and its configuration is known to be within the
+// freshness bound.
 func (e *Entry) serving() bool {
 	now := time.Now()
 	bound := e.settings.Timing.Freshness
-	if !e.joined() {
+	if !e.isMember() {
 		return false
 	}
 	if now.Before(e.config.Fresh().Add(bound)) {
@@ -62,29 +63,29 @@
 	return now.Before(freshener.ServeUntil(now, bound, v))
 }
 
-// runMembership joins, and joins again some time after an eviction. Without that time an entry that the
-// lease holder does not hear would come and go with each look of the holder, and no change would settle.
+// runMembership joins the members and rejoins rejoinDelay after an eviction. Without the delay, an entry that the
+// lease holder can't reach would be evicted and rejoin again and again, and no change would come into force.
 func (e *Entry) runMembership(ctx context.Context) {
 	var memberAt time.Time
-	every(ctx, joinRetry, func(ctx context.Context) {
-		if e.joined() {
+	every(ctx, joinRetryInterval, func(ctx context.Context) {
+		if e.isMember() {
 			memberAt = time.Now()
 			return
 		}
-		evicted := !memberAt.IsZero() && time.Since(memberAt) < rejoinAfter
+		evicted := !memberAt.IsZero() && time.Since(memberAt) < rejoinDelay
 		if evicted || e.leaving.Load() || !e.config.ReadSelf() {
 			return
 		}
 		if err := e.admin.Join(ctx, e.member); err != nil {
 			e.logger.Debug("join failed", zap.Error(err))
-			sleeper.Sleep(ctx, rand.N(joinRetry))
+			sleeper.Sleep(ctx, rand.N(joinRetryInterval))
 		}
 	})
 }
 
-// runList reads the platform's list of live and leaving instances.
+// runList polls the platform's list of live and leaving instances.
 func (e *Entry) runList(ctx context.Context) {
-	absent := map[string]time.Time{}
+	absentSince := map[string]time.Time{}
 	every(ctx, listInterval, func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
@@ -99,39 +100,40 @@
 			leaving[identifier.TargetID(i.ID)] = i.Leaving
 		}
 		e.tracker.SetLeaving(leaving)
-		e.observer.SetGone(e.gone(listed, absent))
+		e.observer.SetGone(e.gone(listed, absentSince))
 	})
 }
 
-// gone returns the members that the platform has not listed, and that were not heard, for long enough.
-func (e *Entry) gone(listed map[string]bool, absent map[string]time.Time) map[string]bool {
+// gone returns the absent members, which the platform does not list and which have not answered a heartbeat within
+// goneTimeout. The value is true for members that have been absent for at least goneTimeout.
+func (e *Entry) gone(listed map[string]bool, absentSince map[string]time.Time) map[string]bool {
 	gone := map[string]bool{}
 	for id, m := range e.view.Load().State.GetMembers() {
-		silent, heard := e.observer.Silent(id, m.Incarnation)
-		if listed[id] || id == e.member.Instance || heard && silent < goneAfter {
-			delete(absent, id)
+		silent, answered := e.observer.Silent(id, m.Incarnation)
+		if listed[id] || id == e.member.Instance || answered && silent < goneTimeout {
+			delete(absentSince, id)
 			continue
 		}
-		if absent[id].IsZero() {
-			absent[id] = time.Now()
+		if absentSince[id].IsZero() {
+			absentSince[id] = time.Now()
 		}
-		gone[id] = time.Since(absent[id]) >= goneAfter
+		gone[id] = time.Since(absentSince[id]) >= goneTimeout
 	}
 	return gone
 }
 
-// runEvictions removes members that neither this instance nor those that it hears have heard for long,
-// while this instance holds the lease.
+// runEvictions evicts members, while this instance holds the lease, if neither this instance nor any member that it
+// reaches has reached them for evictionTimeout.
 func (e *Entry) runEvictions(ctx context.Context) {
 	lastSeen := map[string]time.Time{}
-	every(ctx, evictInterval, func(ctx context.Context) {
+	every(ctx, evictionInterval, func(ctx context.Context) {
 		members := e.view.Load().State.GetMembers()
-		e.noteHeard(members, lastSeen)
-		if _, _, err := e.holder.Authority(); err != nil || !e.hearsMajority() {
+		e.updateLastSeen(members, lastSeen)
+		if _, _, err := e.holder.Authority(); err != nil || !e.reachesMajority() {
 			return
 		}
 		for id, m := range members {
-			if id != e.member.Instance && time.Since(lastSeen[id]) > evictAfter {
+			if id != e.member.Instance && time.Since(lastSeen[id]) > evictionTimeout {
 				err := e.admin.Evict(ctx, id, m.Incarnation)
 				e.logger.Info("Evict", zap.String("Instance", id), zap.Error(err))
 				return
@@ -140,71 +142,72 @@
 	})
 }
 
-// hearsMajority reports whether this instance hears a majority of the members now. One that is cut off
-// must not evict the others.
-func (e *Entry) hearsMajority() bool {
+// reachesMajority reports whether a majority of the members has answered a heartbeat within peerSilenceTimeout; this
+// instance and members that are gone count as well. An isolated instance must not evict the other members.
+func (e *Entry) reachesMajority() bool {
 	members := e.observer.View()
-	heard := 0
+	reached := 0
 	for _, m := range members {
-		if m.Self || m.Gone || time.Since(m.SentAt) <= addressSilence {
-			heard++
+		if m.Self || m.Gone || time.Since(m.SentAt) <= peerSilenceTimeout {
+			reached++
 		}
 	}
-	return heard >= len(members)/2+1
+	return reached >= len(members)/2+1
 }
 
-// noteHeard follows when each member was last heard here or by a member that is heard here; one that has
-// just joined counts as heard.
-func (e *Entry) noteHeard(members map[string]*recorder.Member, lastSeen map[string]time.Time) {
+// updateLastSeen records when this instance, or a member that it reaches, last reached each member. A member that has
+// just joined counts as reached.
+func (e *Entry) updateLastSeen(members map[string]*recorder.Member, lastSeen map[string]time.Time) {
 	now := time.Now()
-	heard := map[string]bool{}
-	for _, beat := range e.observer.Beats(addressSilence) {
-		heard[beat.Instance] = true
-		for _, id := range beat.Hears {
-			heard[id] = true
+	reached := map[string]bool{}
+	for _, heartbeat := range e.observer.Beats(peerSilenceTimeout) {
+		reached[heartbeat.Instance] = true
+		for _, id := range heartbeat.Hears {
+			reached[id] = true
 		}
 	}
 	for id := range members {
-		if heard[id] || lastSeen[id].IsZero() {
+		if reached[id] || lastSeen[id].IsZero() {
 			lastSeen[id] = now
 		}
 	}
 	maps.DeleteFunc(lastSeen, func(id string, _ time.Time) bool { return members[id] == nil })
 }
 
-// addresses ranks the entries that take callers: those of the caller's availability zone first.
+// addresses returns the entries that accept callers, those in the caller's availability zone first.
 func (e *Entry) addresses(zone identifier.ZoneID) caller.Addresses {
 	if zone == "" {
 		zone = e.settings.Zone
 	}
 	leaving := map[string]bool{e.member.Instance: e.leaving.Load()}
-	for _, beat := range e.observer.Beats(beatMaximumAge) {
-		leaving[beat.Instance] = beat.Leaving
+	for _, heartbeat := range e.observer.Beats(heartbeatMaximumAge) {
+		leaving[heartbeat.Instance] = heartbeat.Leaving
 	}
-	var near, far []caller.Address
+	var sameZone, otherZones []caller.Address
 	for id, m := range e.view.Load().State.GetMembers() {
-		if m.Leaving || leaving[id] || e.quiet(m) {
+		if m.Leaving || leaving[id] || e.isSilent(m) {
 			continue
 		}
 		a := caller.Address{Address: m.Address, Zone: identifier.ZoneID(m.Zone), Instance: identifier.InstanceID(id)}
 		if a.Zone == zone {
-			near = append(near, a)
+			sameZone = append(sameZone, a)
 		} else {
-			far = append(far, a)
+			otherZones = append(otherZones, a)
 		}
 	}
-	shuffle(near)
-	shuffle(far)
+	shuffle(sameZone)
+	shuffle(otherZones)
 	return caller.Addresses{
-		Addresses:            slices.Concat(near, far),
+		Addresses:            slices.Concat(sameZone, otherZones),
 		LifetimeMilliseconds: e.settings.Timing.AddressLifetime.Milliseconds(),
 	}
 }
 
-// quiet reports whether a member has not answered heartbeats lately.
-func (e *Entry) quiet(m *recorder.Member) bool {
+// isSilent reports whether a member last answered a heartbeat more than peerSilenceTimeout ago. It is false for a
+// member that has never answered.
+func (e *Entry) isSilent(m *recorder.Member) bool {
 	silent, ok := e.observer.Silent(m.Instance, m.Incarnation)
-	return ok && silent > addressSilence
+	return ok && silent > peerSilenceTimeout
 }
 
 func shuffle(list []caller.Address) {
--- a/internal/runner/peers.go
+++ b/internal/runner/peers.go
@@ -8,9 +8,9 @@
 // peerHandler answers the requests of other entry instances.
 type peerHandler struct{ e *Entry }
 
-// Handle answers a heartbeat, keeps usage for a peer, or hands out the configuration.
+// Handle answers a heartbeat, stores a copy of a peer's usage, or returns the configuration.
 func (h peerHandler) Handle(req *messenger.Request) *messenger.Reply {
-	reply := &messenger.Reply{Heartbeat: h.e.beat()}
+	reply := &messenger.Reply{Heartbeat: h.e.heartbeat()}
 	switch b := req.Body.(type) {
 	case *messenger.Request_Hold:
 		h.e.mirror.Hold(b.Hold.GetDelta())
@@ -20,7 +20,8 @@
 	return reply
 }
 
-// fetch returns the configuration with an age of freshness that is not understated.
+// fetch returns the configuration. If it changes between the snapshot and the heartbeat, the reply reports the maximum
+// freshness age, so that the age is never understated.
 func (h peerHandler) fetch() *messenger.Reply {
 	reply := &messenger.Reply{}
 	h.e.config.Query(func() {
@@ -29,7 +30,7 @@
 			reply.Checkpoint = &recorder.Checkpoint{Next: uint64(h.e.configFold.Next()), State: state}
 		}
 	})
-	reply.Heartbeat = h.e.beat()
+	reply.Heartbeat = h.e.heartbeat()
 	if reply.Heartbeat.ConfigNext != reply.Checkpoint.GetNext() {
 		reply.Heartbeat.FreshAgeMilliseconds = maximumFreshAge.Milliseconds()
 	}
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -16,34 +16,35 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// placement is what the lease holder keeps between placement decisions.
+// placement is the lease holder's state between placement decisions. It holds the targets with an order in progress and
+// the time at which an order for a target was last refused.
 type placement struct {
-	at     time.Time
-	models map[identifier.ModelID]*modelPlacement
-	mu     sync.Mutex
-	busy   map[identifier.TargetID]bool
-	failed map[identifier.TargetID]time.Time
+	plannedAt  time.Time
+	models     map[identifier.ModelID]*modelPlacement
+	mu         sync.Mutex
+	inProgress map[identifier.TargetID]bool
+	refusedAt  map[identifier.TargetID]time.Time
 }
 
-// modelPlacement follows the demand for one model.
+// modelPlacement tracks the long-window demand for one model and the time of its last role change.
 type modelPlacement struct {
 	long      placer.Demand
 	changedAt time.Time
 }
 
-// place decides on roles and targets once in an interval and starts the orders that follow.
-func (e *Entry) place(ctx context.Context) {
+// updatePlacement plans roles and targets once per placementInterval and starts the resulting orders.
+func (e *Entry) updatePlacement(ctx context.Context) {
 	p := &e.placement
 	now := time.Now()
-	elapsed := now.Sub(p.at)
+	elapsed := now.Sub(p.plannedAt)
 	if elapsed < placementInterval {
 		return
 	}
-	p.at = now
+	p.plannedAt = now
 	short := e.demands()
 	for model, engines := range e.enginesByModel() {
 		m := p.model(model)
-		m.follow(short[model], elapsed)
+		m.updateLong(short[model], elapsed)
 		e.placeRoles(ctx, model, m, engines, short[model])
 		e.placeTargets(ctx, model, engines, short[model])
 	}
@@ -59,21 +60,21 @@
 	return p.models[id]
 }
 
-// follow moves the long window's demand towards the short one's.
-func (m *modelPlacement) follow(short placer.Demand, elapsed time.Duration) {
-	f := 1 - math.Exp(-elapsed.Seconds()/longWindow.Seconds())
-	m.long.Prompt += f * (short.Prompt - m.long.Prompt)
-	m.long.Output += f * (short.Output - m.long.Output)
+// updateLong moves the long-window demand exponentially towards the short-window demand.
+func (m *modelPlacement) updateLong(short placer.Demand, elapsed time.Duration) {
+	weight := 1 - math.Exp(-elapsed.Seconds()/longDemandWindow.Seconds())
+	m.long.Prompt += weight * (short.Prompt - m.long.Prompt)
+	m.long.Output += weight * (short.Output - m.long.Output)
 }
 
-// demands adds up the token rates of all teams at all entries.
+// demands returns each model's token rates, summed over all teams and entries.
 func (e *Entry) demands() map[identifier.ModelID]placer.Demand {
 	demands := map[identifier.ModelID]placer.Demand{}
-	for subject, rate := range e.allRates() {
-		d := demands[subject.Model]
+	for key, rate := range e.allRates() {
+		d := demands[key.Model]
 		d.Prompt += rate.Prompt
 		d.Output += rate.Output
-		demands[subject.Model] = d
+		demands[key.Model] = d
 	}
 	return demands
 }
@@ -90,10 +91,10 @@
 }
 
 func (e *Entry) placeRoles(ctx context.Context, model identifier.ModelID, m *modelPlacement, engines []*recorder.Target, short placer.Demand) {
-	situation := placer.RoleInput{
+	input := placer.RoleInput{
 		Engines: e.roleEngines(engines), Short: short, Long: m.long, SinceChange: time.Since(m.changedAt),
 	}
-	for _, change := range placer.PlanRoles(situation) {
+	for _, change := range placer.PlanRoles(input) {
 		m.changedAt = time.Now()
 		e.logger.Info("Place",
 			zap.String("Target", string(change.ID)), zap.String("Role", change.Role.String()),
@@ -103,7 +104,8 @@
 	}
 }
 
-// roleEngines describes engines for a role decision; one that does not check fencing numbers gets no second order.
+// roleEngines returns the engines as input of a role plan. An engine that does not check fencing numbers is not
+// orderable, because it must not get a second order.
 func (e *Entry) roleEngines(targets []*recorder.Target) []placer.Engine {
 	roles, draining := e.roles()
 	engines := make([]placer.Engine, len(targets))
@@ -121,68 +123,70 @@
 	return engines
 }
 
-// startOrder carries out an order on a goroutine of its own, one at a time for each target.
-func (e *Entry) startOrder(order *recorder.Order, carryOut func() error) {
+// startOrder carries out an order on its own goroutine, at most one at a time per target. It does nothing while
+// maximumConcurrentOrders are in progress or the target is in backoff after a refusal.
+func (e *Entry) startOrder(order *recorder.Order, run func() error) {
 	id := identifier.TargetID(order.Target)
 	p := &e.placement
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy == nil {
-		p.busy = map[identifier.TargetID]bool{}
+	if p.inProgress == nil {
+		p.inProgress = map[identifier.TargetID]bool{}
 	}
-	if p.busy[id] || len(p.busy) >= ordersUnderWay || time.Since(p.failed[id]) < failureRest {
+	if p.inProgress[id] || len(p.inProgress) >= maximumConcurrentOrders || time.Since(p.refusedAt[id]) < refusedOrderBackoff {
 		return
 	}
-	p.busy[id] = true
+	p.inProgress[id] = true
 	go func() {
-		err := carryOut()
+		err := run()
 		if err != nil {
 			e.logger.Info("order failed", zap.String("Target", order.Target), zap.Error(err))
 		}
-		p.finished(id, err)
+		p.orderFinished(id, err)
 	}()
 }
 
-func (p *placement) finished(id identifier.TargetID, err error) {
+func (p *placement) orderFinished(id identifier.TargetID, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, id)
+	delete(p.inProgress, id)
 	if errors.Is(err, orderer.ErrTargetRefused) || errors.Is(err, provider.ErrRefused) {
-		if p.failed == nil {
-			p.failed = map[identifier.TargetID]time.Time{}
+		if p.refusedAt == nil {
+			p.refusedAt = map[identifier.TargetID]time.Time{}
 		}
-		p.failed[id] = time.Now()
+		p.refusedAt[id] = time.Now()
 	}
 }
 
-// resting reports whether an order for a target was refused lately.
-func (p *placement) resting(id identifier.TargetID) bool {
+// inBackoff reports whether an order for a target was refused within refusedOrderBackoff.
+func (p *placement) inBackoff(id identifier.TargetID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Since(p.failed[id]) < failureRest
+	return time.Since(p.refusedAt[id]) < refusedOrderBackoff
 }
 
-// newTarget names a target to be ordered; the platform takes one order per model and zone at a time.
-func newTarget(model identifier.ModelID, zone string) identifier.TargetID {
+// newTargetID returns the placeholder id of a target to be ordered. There is one id per model and zone, because the
+// platform takes one order per model and zone at a time.
+func newTargetID(model identifier.ModelID, zone string) identifier.TargetID {
 	return identifier.TargetID("new/" + string(model) + "/" + zone)
 }
 
-// placeTargets orders targets from the platform or gives some back, where the rules let it.
+// placeTargets acquires targets from the platform or withdraws some, if the rules set a scaling for the model.
 func (e *Entry) placeTargets(ctx context.Context, model identifier.ModelID, engines []*recorder.Target, short placer.Demand) {
 	scaling := e.scaling(model)
 	if scaling == nil {
 		return
 	}
-	supply := e.supply(scaling, engines, short)
-	for _, change := range placer.PlanTargets(supply) {
+	targetInput := e.targetInput(scaling, engines, short)
+	for _, change := range placer.PlanTargets(targetInput) {
 		order := &recorder.Order{Kind: recorder.OrderKind_Acquire, Zone: string(change.Zone), Model: string(model), Cheap: change.Cheap, ChecksFence: true}
-		order.Target = string(newTarget(model, string(change.Zone)))
+		order.Target = string(newTargetID(model, string(change.Zone)))
 		if change.Withdraw != "" {
 			order.Kind, order.Target = recorder.OrderKind_Withdraw, string(change.Withdraw)
 		}
 		e.logger.Info("Place",
 			zap.String("Order", order.Kind.String()), zap.String("Target", order.Target), zap.Bool("Cheap", order.Cheap),
-			zap.Float64("Needed", supply.Needed), zap.Int("Held", len(supply.Targets)))
+			zap.Float64("Needed", targetInput.Needed), zap.Int("Held", len(targetInput.Targets)))
 		e.startOrder(order, func() error { return e.orderer.Order(ctx, order) })
 	}
 }
@@ -196,27 +200,27 @@
 	return nil
 }
 
-func (e *Entry) supply(scaling *recorder.Scaling, engines []*recorder.Target, short placer.Demand) placer.TargetInput {
+func (e *Entry) targetInput(scaling *recorder.Scaling, engines []*recorder.Target, short placer.Demand) placer.TargetInput {
 	state := e.view.Load().State
-	supply := placer.TargetInput{
+	targetInput := placer.TargetInput{
 		Maximum: int(scaling.Maximum), SurvivingShare: scaling.SurvivingShare, CheapShare: scaling.CheapShare,
 		Needed: placer.NeededEngines(e.roleEngines(engines), short),
 	}
 	for _, z := range state.GetInventory().GetZones() {
-		if !e.placement.resting(newTarget(identifier.ModelID(scaling.Model), z.ID)) {
-			supply.Zones = append(supply.Zones, identifier.ZoneID(z.ID))
+		if !e.placement.inBackoff(newTargetID(identifier.ModelID(scaling.Model), z.ID)) {
+			targetInput.Zones = append(targetInput.Zones, identifier.ZoneID(z.ID))
 		}
 	}
-	owned := map[string]bool{}
+	inInventory := map[string]bool{}
 	for _, t := range state.GetInventory().GetTargets() {
-		owned[t.ID] = true
+		inInventory[t.ID] = true
 	}
 	_, draining := e.roles()
 	for _, t := range engines {
 		id := identifier.TargetID(t.ID)
-		supply.Targets = append(supply.Targets, placer.TargetState{
-			ID: id, Zone: identifier.ZoneID(t.Zone), Cheap: t.Cheap, Acquired: !owned[t.ID], Leaving: draining[id] || e.tracker.Leaving(id),
+		targetInput.Targets = append(targetInput.Targets, placer.TargetState{
+			ID: id, Zone: identifier.ZoneID(t.Zone), Cheap: t.Cheap, Acquired: !inInventory[t.ID], Leaving: draining[id] || e.tracker.Leaving(id),
 		})
 	}
-	return supply
+	return targetInput
 }
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -9,21 +9,21 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// shares caches the fair shares of the teams.
+// shares caches the teams' fair shares.
 type shares struct {
-	mu   sync.Mutex
-	at   time.Time
-	team map[limiter.RateKey]limiter.Demand
+	mu         sync.Mutex
+	computedAt time.Time
+	team       map[limiter.RateKey]limiter.Demand
 }
 
-// share returns a team's recent cost on a model's engines over all entries, and its fair share, both
-// as parts of the capacity.
+// share returns a team's recent cost on a model's engines, summed over all entries, and its fair share, both as
+// fractions of the capacity.
 func (e *Entry) share(team identifier.TeamID, model identifier.ModelID) (rate, share float64) {
 	e.shares.mu.Lock()
 	defer e.shares.mu.Unlock()
-	if time.Since(e.shares.at) >= shareLifetime {
+	if time.Since(e.shares.computedAt) >= sharesMaximumAge {
 		e.shares.team = e.computeShares()
-		e.shares.at = time.Now()
+		e.shares.computedAt = time.Now()
 	}
 	d, ok := e.shares.team[limiter.RateKey{Team: team, Model: model}]
 	if !ok {
@@ -34,23 +34,23 @@
 
 func (e *Entry) computeShares() map[limiter.RateKey]limiter.Demand {
 	byModel := map[identifier.ModelID]map[identifier.TeamID]limiter.Rate{}
-	for subject, rate := range e.allRates() {
-		if subject.Team == "" {
+	for key, rate := range e.allRates() {
+		if key.Team == "" {
 			continue
 		}
-		if byModel[subject.Model] == nil {
-			byModel[subject.Model] = map[identifier.TeamID]limiter.Rate{}
+		if byModel[key.Model] == nil {
+			byModel[key.Model] = map[identifier.TeamID]limiter.Rate{}
 		}
-		byModel[subject.Model][subject.Team] = rate
+		byModel[key.Model][key.Team] = rate
 	}
 	result := map[limiter.RateKey]limiter.Demand{}
 	for model, rates := range byModel {
-		e.shareModel(model, rates, result)
+		e.computeModelShares(model, rates, result)
 	}
 	return result
 }
 
-func (e *Entry) shareModel(model identifier.ModelID, rates map[identifier.TeamID]limiter.Rate, result map[limiter.RateKey]limiter.Demand) {
+func (e *Entry) computeModelShares(model identifier.ModelID, rates map[identifier.TeamID]limiter.Rate, result map[limiter.RateKey]limiter.Demand) {
 	prefill, decode := e.tracker.Capacity(tracker.ModelGroup(model))
 	view := e.view.Load()
 	teams := make([]identifier.TeamID, 0, len(rates))
@@ -65,16 +65,16 @@
 	}
 }
 
-// allRates adds the rates that the other entries sent with their heartbeats to those of this one.
+// allRates returns the token rates of this entry plus the rates in the recent heartbeats of the other entries.
 func (e *Entry) allRates() map[limiter.RateKey]limiter.Rate {
 	total := e.meter.Rates()
-	for _, beat := range e.observer.Beats(beatMaximumAge) {
-		for _, r := range beat.Rates {
-			s := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
-			t := total[s]
+	for _, heartbeat := range e.observer.Beats(heartbeatMaximumAge) {
+		for _, r := range heartbeat.Rates {
+			key := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
+			t := total[key]
 			t.Prompt += r.PromptTokensPerSecond
 			t.Output += r.OutputTokensPerSecond
-			total[s] = t
+			total[key] = t
 		}
 	}
 	return total
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Status is what an entry instance says of itself and the fleet.
+// Status is an entry instance's answer to /operator/status: its own state and its view of the fleet.
 type Status struct {
 	Instance     identifier.InstanceID
 	Zone         identifier.ZoneID
@@ -25,7 +25,8 @@
 	Orders       []*recorder.Order
 }
 
-// UsageAnswer is the open window's usage as this instance has folded it, and the windows not yet reported.
+// UsageAnswer is an entry instance's answer to /operator/usage: the usage of the open window as folded by this instance,
+// and the closed windows that are not yet reported.
 type UsageAnswer struct {
 	Window     uint64
 	Teams      []*recorder.TeamUsage
@@ -66,7 +67,7 @@
 	return a
 }
 
-// runGauges publishes the state of the instance as metrics.
+// runGauges publishes the instance's state as metrics.
 func (e *Entry) runGauges(ctx context.Context) {
 	every(ctx, metricsInterval, func(context.Context) {
 		e.metrics.Gauge("ConfigOffset").Update(float64(e.config.Next()))
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -13,10 +13,10 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
 )
 
-// runMirror keeps a copy of the usage that the log does not have yet at a peer, in another zone where there is one.
+// runMirror keeps a copy of the usage that is not in the log yet on a peer, preferably in another zone.
 func (e *Entry) runMirror(ctx context.Context) {
 	dirty := e.ledger.Dirty()
-	ticker := time.NewTicker(mirrorKeepAlive)
+	ticker := time.NewTicker(mirrorKeepAliveInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -26,12 +26,13 @@
 		case <-ticker.C:
 		}
 		for ctx.Err() == nil && !e.mirrorOnce(ctx) {
-			sleeper.Sleep(ctx, mirrorRetry)
+			sleeper.Sleep(ctx, usageRetryInterval)
 		}
 	}
 }
 
-// mirrorOnce sends the copies to the first peer that takes them; it reports false where none did.
+// mirrorOnce sends the usage that is not in the log yet to the first peer that accepts it. It reports false if no peer
+// did, and true if there are no peers.
 func (e *Entry) mirrorOnce(ctx context.Context) bool {
 	peers := e.mirrorPeers()
 	e.ledger.SetMirrored(len(peers) > 0)
@@ -44,7 +45,7 @@
 	}
 	req := &messenger.Request{Body: &messenger.Request_Hold{Hold: &messenger.Hold{Delta: delta}}}
 	for _, m := range peers {
-		if e.hold(ctx, m, req) {
+		if e.sendHold(ctx, m, req) {
 			e.ledger.Acked(version)
 			return true
 		}
@@ -52,14 +53,15 @@
 	return false
 }
 
-func (e *Entry) hold(ctx context.Context, m *recorder.Member, req *messenger.Request) bool {
+func (e *Entry) sendHold(ctx context.Context, m *recorder.Member, req *messenger.Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, mirrorTimeout)
 	defer cancel()
 	_, err := e.peers.Call(ctx, m.PeerAddress, req)
 	return err == nil
 }
 
-// mirrorPeers lists the other members: heard ones first, then those of other zones, then by id.
+// mirrorPeers returns the other members in order of preference: members that are neither silent nor leaving come first;
+// among equals, members of other zones come first, then the lowest id.
 func (e *Entry) mirrorPeers() []*recorder.Member {
 	var list []*recorder.Member
 	for id, m := range e.view.Load().State.GetMembers() {
@@ -69,7 +71,7 @@
 	}
 	rank := func(m *recorder.Member) int {
 		n := 0
-		if e.quiet(m) || m.Leaving {
+		if e.isSilent(m) || m.Leaving {
 			n += 2
 		}
 		if m.Zone == e.member.Zone {
@@ -83,26 +85,26 @@
 	return list
 }
 
-// runUsage appends this instance's usage to the log.
+// runUsage appends this instance's usage to the log at each UsageInterval.
 func (e *Entry) runUsage(ctx context.Context) {
 	every(ctx, e.settings.Timing.UsageInterval, func(ctx context.Context) { e.appendUsage(ctx) })
 }
 
-// appendUsage appends what the log lacks and reports whether it lacks nothing any more.
+// appendUsage appends the usage that is not in the log yet and reports whether the log then has all of it.
 func (e *Entry) appendUsage(ctx context.Context) bool {
 	d, _ := e.ledger.Unlogged()
 	if d == nil {
 		return true
 	}
 	if err := e.appendDelta(ctx, d); err != nil {
-		e.logger.Debug("usage not appended", zap.Error(err))
+		e.logger.Debug("usage append failed", zap.Error(err))
 	}
 	e.ledger.Settle(e.counted(e.origin()))
 	d, _ = e.ledger.Unlogged()
 	return d == nil
 }
 
-// counted returns what the log has counted for an origin.
+// counted returns the usage totals of an origin that are in the log.
 func (e *Entry) counted(origin string) map[string]*recorder.TeamUsage {
 	var counted map[string]*recorder.TeamUsage
 	e.usage.Query(func() { counted = e.usageFold.Counted(origin) })
@@ -118,24 +120,24 @@
 	return err
 }
 
-// flushUsage appends all usage before the instance ends.
+// flushUsage appends all remaining usage before the instance ends.
 func (e *Entry) flushUsage(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, finalFlushTimeout)
 	defer cancel()
 	for ctx.Err() == nil && !e.appendUsage(ctx) {
-		sleeper.Sleep(ctx, mirrorRetry)
+		sleeper.Sleep(ctx, usageRetryInterval)
 	}
 }
 
-// runTakeover appends the usage of instances that fell silent.
+// runTakeover appends the mirrored usage of instances that have sent no copy for originSilenceTimeout.
 func (e *Entry) runTakeover(ctx context.Context) {
 	every(ctx, takeoverInterval, func(ctx context.Context) {
 		if !e.usage.CaughtUp() {
 			return
 		}
-		for _, d := range e.mirror.Overdue(mirrorSilence, e.counted) {
+		for _, d := range e.mirror.Overdue(originSilenceTimeout, e.counted) {
 			err := e.appendDelta(ctx, d)
-			e.logger.Info("usage taken over", zap.String("Origin", d.Origin), zap.Int("Teams", len(d.Teams)), zap.Error(err))
+			e.logger.Info("usage of a silent instance taken over", zap.String("Origin", d.Origin), zap.Int("Teams", len(d.Teams)), zap.Error(err))
 		}
 	})
 }
