--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -10,7 +10,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
 )
 
-// isolate cuts an entry off from the platform and from its peers.
+// isolate cuts an entry's connections to the platform and to the given peers.
 func (s *site) isolate(name string, others ...string) {
 	s.network.Cut(name, "platform")
 	for _, other := range others {
@@ -18,88 +18,89 @@
 	}
 }
 
-// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is cut off, and reports whether entry-c takes it afterwards.
+// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is isolated, and reports whether entry-c accepts the key
+// afterwards.
 func withdrawnKeyAccepted(t *testing.T, freshness time.Duration) (accepted bool) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.freshness = map[string]time.Duration{"entry-c": freshness}
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.isolate("entry-c", "entry-a", "entry-b")
 		began := time.Now()
 		status, body := s.withdraw("entry-a", "k")
 		quicktest.Assert(t, status, quicktest.Equals, http.StatusOK, quicktest.Commentf(body))
 		quicktest.Check(t, time.Since(began) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("in force after %s", time.Since(began)))
-		status, _, _ = s.ask("entry-c", "secret", prompt("x", 1, true))
+		status, _, _ = s.chat("entry-c", "secret", prompt("x", 1, true))
 		accepted = status == http.StatusOK
 	})
 	return accepted
 }
 
-func TestWithdrawnKeyStopsAtAnEntryThatIsCutOff(t *testing.T) {
+func TestIsolatedEntryRejectsWithdrawnKey(t *testing.T) {
 	unbounded := withdrawnKeyAccepted(t, time.Hour)
-	quicktest.Check(t, unbounded, quicktest.IsTrue, quicktest.Commentf("without the freshness bound the entry goes on"))
+	quicktest.Check(t, unbounded, quicktest.IsTrue, quicktest.Commentf("without the freshness bound the entry keeps accepting the key"))
 	bounded := withdrawnKeyAccepted(t, 0)
 	quicktest.Check(t, bounded, quicktest.IsFalse)
 }
 
-func TestServingGoesOnThroughALogOutage(t *testing.T) {
+func TestServingContinuesDuringLogOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.platform.SetFaults(imitator.PlatformFaults{Down: true})
 		time.Sleep(30 * time.Second)
 		for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
 			req := prompt("during the outage", 5, true)
-			status, text, _ := s.ask(name, "secret", req)
+			status, text, _ := s.chat(name, "secret", req)
 			c.Check(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: %s", name, text))
-			c.Check(text, quicktest.Equals, expected(req))
+			c.Check(text, quicktest.Equals, expectedText(req))
 		}
 		status, run, _ := s.settle("entry-a", "secret", "tab-1")
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable)
 		c.Check(string(run), quicktest.Equals, "NotRun")
 		status, _ = s.withdraw("entry-a", "k")
-		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("a change cannot be accepted without the log"))
+		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("no change can be accepted without the log"))
 
 		s.network.Cut("entry-c", "entry-a")
 		s.network.Cut("entry-c", "entry-b")
 		time.Sleep(4 * time.Second)
-		status, _, _ = s.ask("entry-c", "secret", prompt("alone", 1, true))
-		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("without a majority an entry stops"))
-		status, _, _ = s.ask("entry-a", "secret", prompt("two of three", 1, true))
+		status, _, _ = s.chat("entry-c", "secret", prompt("alone", 1, true))
+		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("an entry without a majority stops serving"))
+		status, _, _ = s.chat("entry-a", "secret", prompt("two of three", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusOK)
 	})
 }
 
-func TestRestartDuringALogOutageWaitsForTheLog(t *testing.T) {
+func TestRestartDuringLogOutageWaitsForLog(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.platform.SetFaults(imitator.PlatformFaults{Down: true})
 		s.kill("entry-c")
-		s.enter("entry-c")
+		s.startEntry("entry-c")
 		time.Sleep(5 * time.Second)
-		status, _, _ := s.ask("entry-c", "secret", prompt("x", 1, true))
+		status, _, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable)
 		s.platform.SetFaults(imitator.PlatformFaults{})
-		s.until(10*time.Second, func() bool { return s.members() == 3 })
-		status, _, _ = s.ask("entry-c", "secret", prompt("x", 1, true))
+		s.waitFor(10*time.Second, func() bool { return s.servingEntries() == 3 })
+		status, _, _ = s.chat("entry-c", "secret", prompt("x", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusOK)
 	})
 }
 
-func TestTruncatedLogStartsFromACheckpoint(t *testing.T) {
+func TestStartFromCheckpointOfTruncatedLog(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b")
+		s.startEntries("entry-a", "entry-b")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.settle("entry-a", "secret", "tab-1")
 		time.Sleep(15 * time.Second)
 		s.platform.Truncate(3)
-		s.enter("entry-c")
-		s.until(10*time.Second, func() bool { return s.members() == 3 })
-		status, _, _ := s.ask("entry-c", "secret", prompt("x", 1, true))
+		s.startEntry("entry-c")
+		s.waitFor(10*time.Second, func() bool { return s.servingEntries() == 3 })
+		status, _, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusOK)
 		status, _, _ = s.settle("entry-c", "secret", "tab-1")
 		c.Check(status, quicktest.Equals, http.StatusOK)
@@ -107,9 +108,9 @@
 	})
 }
 
-func TestRacingPublishersGetOneWinner(t *testing.T) {
+func TestRacingPublishesHaveOneWinner(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		results := make(chan int, 3)
 		for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
 			go func() {
@@ -125,7 +126,7 @@
 	})
 }
 
-func TestWithdrawalReachesAnEntryThatIsPartlyCutOff(t *testing.T) {
+func TestWithdrawalReachesPartlyIsolatedEntry(t *testing.T) {
 	for name, cuts := range map[string][]string{
 		"from the log":   {"platform"},
 		"from its peers": {"entry-a", "entry-b"},
@@ -133,20 +134,20 @@
 	} {
 		inBubble(t, func(t *testing.T, s *site) {
 			c := quicktest.New(t)
-			s.up("entry-a", "entry-b", "entry-c")
+			s.startEntries("entry-a", "entry-b", "entry-c")
 			s.grant("entry-a", "k", "tabline", "secret")
 			for _, other := range cuts {
 				s.network.Cut("entry-c", other)
 			}
 			time.Sleep(10 * time.Second)
-			status, _, _ := s.ask("entry-c", "secret", prompt("x", 1, true))
-			c.Check(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: it goes on serving", name))
+			status, _, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
+			c.Check(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: it keeps serving", name))
 			began := time.Now()
 			status, body := s.withdraw("entry-a", "k")
 			c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: %s", name, body))
 			c.Check(time.Since(began) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("%s: %s", name, time.Since(began)))
-			// An entry that none of its peers hears for 10 s is evicted, and then refuses everybody.
-			status, text, _ := s.ask("entry-c", "secret", prompt("x", 1, true))
+			// An entry that none of its peers reaches for 10 s is evicted and then refuses all requests.
+			status, text, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
 			c.Check(status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, quicktest.IsTrue, quicktest.Commentf("%s: %d", name, status))
 			c.Check(text, quicktest.Contains, `"Run":"NotRun"`)
 		})
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -13,14 +13,14 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
 )
 
-// sweep kills the serving entry at every point between acceptance and answer, sends the call again
-// at another entry, and returns the greatest number of executions of one call.
-func sweep(t *testing.T, rules string) int {
-	worst := 0
+// sweepKillTimes kills the serving entry at points in time from acceptance to answer, repeats the call at another entry,
+// and returns the maximum number of executions of one call.
+func sweepKillTimes(t *testing.T, rules string) int {
+	maximum := 0
 	inBubble(t, func(t *testing.T, s *site) {
 		s.rules = rules
 		s.service.Latency = 100 * time.Millisecond
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 20})
 		for after := time.Duration(0); after < 240*time.Millisecond; after += 15 * time.Millisecond {
@@ -32,30 +32,30 @@
 			}()
 			time.Sleep(after)
 			s.kill("entry-b")
-			before := <-first
-			_, again, _ := s.settle("entry-c", "secret", key)
-			n := s.service.Verdict().Executions[key]
-			worst = max(worst, n)
-			said := before == answerer.NotRun && again == answerer.NotRun
-			quicktest.Check(t, said && n > 0, quicktest.IsFalse, quicktest.Commentf("killed after %s: ran %d times and was said not to have run", after, n))
-			s.enter("entry-b")
-			s.until(20*time.Second, func() bool { return s.members() == 3 })
+			firstRun := <-first
+			_, secondRun, _ := s.settle("entry-c", "secret", key)
+			executions := s.service.Verdict().Executions[key]
+			maximum = max(maximum, executions)
+			reportedNotRun := firstRun == answerer.NotRun && secondRun == answerer.NotRun
+			quicktest.Check(t, reportedNotRun && executions > 0, quicktest.IsFalse, quicktest.Commentf("killed after %s: executed %d times but reported as NotRun", after, executions))
+			s.startEntry("entry-b")
+			s.waitFor(20*time.Second, func() bool { return s.servingEntries() == 3 })
 		}
 	})
-	return worst
+	return maximum
 }
 
-func TestCallRunsAtMostOnceWhenEntriesDie(t *testing.T) {
-	plain := sweep(t, strings.Replace(rulesText, "[Route /settlements]\n", "[Route /settlements]\nRepeatable = true\n", 1))
-	quicktest.Check(t, plain > 1, quicktest.IsTrue, quicktest.Commentf("without the journal a call runs again: %d", plain))
-	quicktest.Check(t, sweep(t, rulesText), quicktest.Equals, 1)
+func TestCallRunsAtMostOnceWhenEntriesAreKilled(t *testing.T) {
+	plain := sweepKillTimes(t, strings.Replace(rulesText, "[Route /settlements]\n", "[Route /settlements]\nRepeatable = true\n", 1))
+	quicktest.Check(t, plain > 1, quicktest.IsTrue, quicktest.Commentf("without the journal a call is executed again: %d", plain))
+	quicktest.Check(t, sweepKillTimes(t, rulesText), quicktest.Equals, 1)
 }
 
 func TestDuplicatesAtSeveralEntries(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
 		s.service.Latency = 50 * time.Millisecond
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		results := make(chan int, 9)
 		for i := range 9 {
@@ -81,10 +81,10 @@
 	})
 }
 
-func TestCallThatNeverLeftMayBeSentAgain(t *testing.T) {
+func TestCallThatNeverLeftCanBeRetried(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b")
+		s.startEntries("entry-a", "entry-b")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.network.Kill("service")
 		status, run, _ := s.settle("entry-a", "secret", "tab-1")
--- a/internal/runner/path_test.go
+++ b/internal/runner/path_test.go
@@ -14,29 +14,29 @@
 func TestWholePath(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		status, body := s.grant("entry-b", "k1", "tabline", "secret")
 		c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf(body))
 
 		for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
 			for _, stream := range []bool{true, false} {
 				req := prompt("tab of table 7 at "+name, 20, stream)
-				status, text, whole := s.ask(name, "secret", req)
+				status, text, whole := s.chat(name, "secret", req)
 				c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf(text))
 				c.Check(whole, quicktest.IsTrue)
-				c.Check(text, quicktest.Equals, expected(req))
+				c.Check(text, quicktest.Equals, expectedText(req))
 			}
 		}
 
 		status, body = s.withdraw("entry-c", "k1")
 		c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf(body))
 		for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
-			status, text, _ := s.ask(name, "secret", prompt("again", 1, true))
+			status, text, _ := s.chat(name, "secret", prompt("again", 1, true))
 			c.Check(status, quicktest.Equals, http.StatusUnauthorized)
 			c.Check(text, quicktest.Contains, `"Run":"NotRun"`)
 		}
 		time.Sleep(25 * time.Second)
-		sum, windows := s.reported()
+		sum, windows := s.reportedUsage()
 		c.Check(windows >= 2, quicktest.IsTrue)
 		c.Check(sum["tabline"].Requests, quicktest.Equals, int64(6))
 		c.Check(sum["tabline"].OutputTokens, quicktest.Equals, int64(120))
@@ -45,7 +45,7 @@
 
 func TestRefusals(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.up("entry-a")
+		s.startEntries("entry-a")
 		s.grant("entry-a", "k1", "tabline", "secret")
 		for name, tc := range map[string]struct {
 			method, path, key string
@@ -65,7 +65,7 @@
 			"no operator":    {http.MethodGet, "/operator/status", "secret", nil, http.StatusUnauthorized, answerer.CodeUnauthorized},
 			"open route":     {http.MethodGet, "/status", "", nil, http.StatusOK, ""},
 		} {
-			status, header, body := s.exchange("entry-a", tc.method, tc.path, tc.key, nil, tc.body)
+			status, header, body := s.roundTrip("entry-a", tc.method, tc.path, tc.key, nil, tc.body)
 			quicktest.Check(t, status, quicktest.Equals, tc.status, quicktest.Commentf("%s: %s", name, body))
 			if tc.code != "" {
 				quicktest.Check(t, body, quicktest.Contains, `"code":"`+string(tc.code)+`"`, quicktest.Commentf(name))
@@ -75,14 +75,14 @@
 	})
 }
 
-func TestBadPublishIsRefusedWhole(t *testing.T) {
+func TestInvalidPublishChangesNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a")
-		status, body := s.operate("entry-a", http.MethodPost, "/publish", map[string]any{"BaseVersion": 1, "Inventory": inventoryText + "[Target x]\nKind = Boat\n", "Rules": rulesText})
+		s.startEntries("entry-a")
+		status, body := s.callOperator("entry-a", http.MethodPost, "/publish", map[string]any{"BaseVersion": 1, "Inventory": inventoryText + "[Target x]\nKind = Boat\n", "Rules": rulesText})
 		c.Check(status, quicktest.Equals, http.StatusUnprocessableEntity)
 		c.Check(body, quicktest.Contains, "[Target x] Kind")
-		_, inventory := s.operate("entry-a", http.MethodGet, "/inventory", nil)
+		_, inventory := s.callOperator("entry-a", http.MethodGet, "/inventory", nil)
 		c.Check(inventory, quicktest.Contains, `"Version":1`)
 	})
 }
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -47,7 +47,9 @@
 	os.Exit(m.Run())
 }
 
-// site is a whole site in one process on virtual time.
+// site runs entries, engines, a service and the platform in one process on virtual time.
+//
+// stop is the entries' stop timeout, one hour if zero. freshness overrides the freshness bound of single entries.
 type site struct {
 	t        testing.TB
 	network  imitator.Network
@@ -74,7 +76,8 @@
 	done chan error
 }
 
-// inBubble runs f with a site on virtual time; pools of the libraries are emptied between bubbles.
+// inBubble runs f with a site in a synctest bubble. The garbage collections empty the sync.Pools of libraries, so that no
+// object is shared between bubbles.
 func inBubble(t *testing.T, f func(t *testing.T, s *site)) {
 	runtime.GC()
 	runtime.GC()
@@ -83,7 +86,7 @@
 		s := newSite(t)
 		defer s.close()
 		f(t, s)
-		quicktest.Check(t, asserter.Violations()-before, quicktest.Equals, int64(0), quicktest.Commentf("invariants asserted in the program"))
+		quicktest.Check(t, asserter.Violations()-before, quicktest.Equals, int64(0), quicktest.Commentf("violations of invariants asserted in the program"))
 	})
 }
 
@@ -112,7 +115,7 @@
 
 func engineAddr(i int) string { return fmt.Sprintf("127.0.0.1:%d", 10+i) }
 
-// pool returns the two targets that can be ordered from the platform.
+// pool returns the two targets that can be acquired from the platform.
 func pool() []provider.GrantedTarget {
 	target := provider.GrantedTarget{ID: "engine-d", Address: engineAddr(3), Zone: "zone-a", Model: model, ChecksFence: true, PrefillTokensPerSecond: 20, DecodeTokensPerSecond: 1, Slots: 32}
 	other := target
@@ -128,8 +131,8 @@
 	go srv.Serve(lis)
 }
 
-// enter starts an entry; zone is its last letter.
-func (s *site) enter(name string) *instance {
+// startEntry starts an entry in the availability zone that the last letter of its name gives.
+func (s *site) startEntry(name string) *instance {
 	ini := fmt.Sprintf("[Instance]\nID = %s\nAvailabilityZone = zone-%s\nListen = 127.0.0.1:1\nPeerListen = 127.0.0.1:2\nPlatform = http://%s\nOperatorKeyHash = %s\n",
 		name, name[len(name)-1:], platformAddr, identifier.HashKey(operatorKey))
 	settings, err := parser.ParseSettings(name, []byte(ini))
@@ -151,7 +154,7 @@
 	return i
 }
 
-// kill ends an entry at once.
+// kill ends an entry without a graceful stop.
 func (s *site) kill(name string) {
 	s.network.Kill(name)
 	s.entries[name].kill()
@@ -169,21 +172,22 @@
 	for _, srv := range s.servers {
 		srv.Close()
 	}
-	// A server lingers for a moment on a connection whose request it has not read to its end.
+	// After closing, a server keeps a connection open for a short time if it has not read the whole request.
 	time.Sleep(2 * time.Second)
 }
 
-// up starts the named entries and waits until all serve a published configuration.
-func (s *site) up(names ...string) {
+// startEntries starts the named entries, waits until all of them serve, and publishes the configuration.
+func (s *site) startEntries(names ...string) {
 	for _, name := range names {
-		s.enter(name)
+		s.startEntry(name)
 	}
-	s.until(20*time.Second, func() bool { return s.members() == len(names) })
+	s.waitFor(20*time.Second, func() bool { return s.servingEntries() == len(names) })
 	status, body := s.publish(names[0], 0)
 	quicktest.Assert(s.t, status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s", body))
 }
 
-func (s *site) members() int {
+// servingEntries returns the number of entries that report healthy.
+func (s *site) servingEntries() int {
 	n := 0
 	for name := range s.entries {
 		status, _ := s.call(name, http.MethodGet, "/healthz", "", nil, nil)
@@ -194,22 +198,23 @@
 	return n
 }
 
-func (s *site) until(limit time.Duration, cond func() bool) {
+func (s *site) waitFor(limit time.Duration, cond func() bool) {
 	s.t.Helper()
 	for began := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
 		if time.Since(began) > limit {
-			s.t.Fatalf("not reached within %s", limit)
+			s.t.Fatalf("condition not met within %s", limit)
 		}
 	}
 }
 
-// call sends one HTTP request to an entry; status 0 means that no whole answer came.
+// call sends one HTTP request to an entry. Status 0 means that the response is missing or incomplete.
 func (s *site) call(name, method, path, key string, header map[string]string, body any) (int, string) {
-	status, _, answer := s.exchange(name, method, path, key, header, body)
+	status, _, answer := s.roundTrip(name, method, path, key, header, body)
 	return status, answer
 }
 
-func (s *site) exchange(name, method, path, key string, header map[string]string, body any) (int, http.Header, string) {
+// roundTrip is call with the response header.
+func (s *site) roundTrip(name, method, path, key string, header map[string]string, body any) (int, http.Header, string) {
 	data, ok := body.([]byte)
 	if !ok && body != nil {
 		data, _ = json.Marshal(body)
@@ -237,21 +242,21 @@
 	return resp.StatusCode, resp.Header, string(answer)
 }
 
-// operate sends an operator's call.
-func (s *site) operate(name, method, path string, body any) (int, string) {
+// callOperator calls a path of the operator API.
+func (s *site) callOperator(name, method, path string, body any) (int, string) {
 	return s.call(name, method, "/operator"+path, operatorKey, nil, body)
 }
 
 func (s *site) publish(name string, base identifier.Version) (int, string) {
-	return s.operate(name, http.MethodPost, "/publish", server.PublishRequest{BaseVersion: base, Inventory: s.inventory, Rules: s.rules})
+	return s.callOperator(name, http.MethodPost, "/publish", server.PublishRequest{BaseVersion: base, Inventory: s.inventory, Rules: s.rules})
 }
 
 func (s *site) grant(name, id, team, key string) (int, string) {
-	return s.operate(name, http.MethodPost, "/keys", server.GrantRequest{ID: identifier.KeyID(id), Hash: identifier.HashKey(key), Team: identifier.TeamID(team)})
+	return s.callOperator(name, http.MethodPost, "/keys", server.GrantRequest{ID: identifier.KeyID(id), Hash: identifier.HashKey(key), Team: identifier.TeamID(team)})
 }
 
 func (s *site) withdraw(name, id string) (int, string) {
-	return s.operate(name, http.MethodDelete, "/keys/"+id, nil)
+	return s.callOperator(name, http.MethodDelete, "/keys/"+id, nil)
 }
 
 // prompt returns a chat completion for a distinct prompt.
@@ -259,8 +264,8 @@
 	return chatter.Request{Model: model, Messages: []chatter.Message{{Role: "user", Content: text}}, MaxTokens: tokens, Stream: stream}
 }
 
-// expected returns the whole text of an answer.
-func expected(req chatter.Request) string {
+// expectedText returns the complete text of the answer to req.
+func expectedText(req chatter.Request) string {
 	var b strings.Builder
 	for n := int64(1); n <= req.MaxTokens; n++ {
 		b.WriteString(imitator.Token(req, n))
@@ -268,8 +273,8 @@
 	return b.String()
 }
 
-// ask sends a chat completion and returns the status, the text, and whether the answer was whole.
-func (s *site) ask(name, key string, req chatter.Request) (status int, text string, whole bool) {
+// chat requests a chat completion and returns the status, the text, and whether the answer was complete.
+func (s *site) chat(name, key string, req chatter.Request) (status int, text string, whole bool) {
 	status, body := s.call(name, http.MethodPost, "/v1/chat/completions", key, nil, req)
 	if status != http.StatusOK {
 		return status, body, false
@@ -297,14 +302,14 @@
 	}
 }
 
-// settle sends a call that must not run twice.
+// settle sends a call that must not be executed twice.
 func (s *site) settle(name, key, idempotencyKey string) (status int, run answerer.Run, body string) {
-	status, header, body := s.exchange(name, http.MethodPost, "/settlements", key, map[string]string{"Idempotency-Key": idempotencyKey}, []byte(`{"Tab":7}`))
+	status, header, body := s.roundTrip(name, http.MethodPost, "/settlements", key, map[string]string{"Idempotency-Key": idempotencyKey}, []byte(`{"Tab":7}`))
 	return status, answerer.Run(header.Get(answerer.RunHeader)), body
 }
 
-// reported returns the sum of all reported windows and the number of windows.
-func (s *site) reported() (map[string]provider.TeamFigures, int) {
+// reportedUsage returns the usage of each team, summed over all reported windows, and the number of windows.
+func (s *site) reportedUsage() (map[string]provider.TeamFigures, int) {
 	sum := map[string]provider.TeamFigures{}
 	reports := s.platform.Reports()
 	for _, r := range reports {
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -29,7 +29,7 @@
 	soakSettling = 60 * time.Second
 )
 
-// TestSoak runs the whole site under a schedule of faults drawn from each seed.
+// TestSoak runs the whole site under a random schedule of faults for each seed.
 func TestSoak(t *testing.T) {
 	for seed := *soakSeed; seed < *soakSeed+uint64(*soakRuns); seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -40,7 +40,7 @@
 
 var soakEntries = []string{"entry-a", "entry-b", "entry-c", "entry-d"}
 
-// soakRules promise little, so that placement under load is seen without refusals.
+// soakRules promise a very long time to first token, so that placement is tested under load without refusals.
 const soakRules = `
 [Promise]
 FirstTokenMilliseconds = 600000
@@ -49,24 +49,24 @@
 CheapShare = 0.5
 `
 
-// soak is one randomised run; its judges collect what callers saw.
+// soak is one randomised run. It records the results that callers got and checks them at the end.
 type soak struct {
 	*site
 	t      *testing.T
 	r      *rand.Rand
 	faults []string
 
-	mu        sync.Mutex
-	busy      map[string]bool
-	finished  int
-	uncertain int
-	ran       map[string][]answerer.Run
-	oks       map[string]int
-	group     sync.WaitGroup
+	mu           sync.Mutex
+	activeFaults map[string]bool
+	finished     int
+	uncertain    int
+	runs         map[string][]answerer.Run
+	succeeded    map[string]int
+	group        sync.WaitGroup
 }
 
 func newSoak(t *testing.T, s *site, seed uint64) *soak {
-	return &soak{site: s, t: t, r: rand.New(rand.NewPCG(seed, 0)), busy: map[string]bool{}, ran: map[string][]answerer.Run{}, oks: map[string]int{}}
+	return &soak{site: s, t: t, r: rand.New(rand.NewPCG(seed, 0)), activeFaults: map[string]bool{}, runs: map[string][]answerer.Run{}, succeeded: map[string]int{}}
 }
 
 func (k *soak) run() {
@@ -75,39 +75,39 @@
 	k.platform.ReportTimeout = 30 * time.Second
 	k.platform.Retention = 600
 	k.platform.Pool = pool()
-	k.up(soakEntries...)
+	k.startEntries(soakEntries...)
 	status, body := k.grant("entry-a", "base", "tabline", "base-key")
 	quicktest.Assert(k.t, status, quicktest.Equals, http.StatusOK, quicktest.Commentf(body))
 	end := time.Now().Add(soakDuration)
 	for i := range 5 {
-		r := k.child(100 + i)
-		k.spawn(func() { k.chat(i, end, r) })
+		r := k.newRand(100 + i)
+		k.spawn(func() { k.callers(i, end, r) })
 	}
 	for i := range 3 {
-		r := k.child(200 + i)
+		r := k.newRand(200 + i)
 		k.spawn(func() { k.settlements(i, end, r) })
 	}
-	operators, publishers := k.child(300), k.child(301)
+	operators, publishers := k.newRand(300), k.newRand(301)
 	k.spawn(func() { k.operators(end, operators) })
 	k.spawn(func() { k.publishers(end, publishers) })
 	k.injectFaults(end)
 	k.group.Wait()
-	k.judge()
+	k.checkResults()
 }
 
-func (k *soak) child(n int) *rand.Rand { return rand.New(rand.NewPCG(k.r.Uint64(), uint64(n))) }
+func (k *soak) newRand(n int) *rand.Rand { return rand.New(rand.NewPCG(k.r.Uint64(), uint64(n))) }
 
 func (k *soak) spawn(f func()) { k.group.Go(f) }
 
-func (k *soak) chat(worker int, end time.Time, r *rand.Rand) {
+func (k *soak) callers(worker int, end time.Time, r *rand.Rand) {
 	for n := 0; time.Now().Before(end); n++ {
 		req := prompt(fmt.Sprintf("worker %d request %d", worker, n), 1+r.Int64N(60), r.IntN(2) == 0)
-		status, text, whole := k.ask(soakEntries[r.IntN(len(soakEntries))], "base-key", req)
+		status, text, whole := k.chat(soakEntries[r.IntN(len(soakEntries))], "base-key", req)
 		k.mu.Lock()
 		switch {
 		case whole:
 			k.finished++
-			quicktest.Check(k.t, text, quicktest.Equals, expected(req))
+			quicktest.Check(k.t, text, quicktest.Equals, expectedText(req))
 		case status == 0 || status == http.StatusOK:
 			k.uncertain++
 		case status == http.StatusUnauthorized:
@@ -118,17 +118,18 @@
 	}
 }
 
-// settlements sends calls that must not run twice, again under the same key while the answer says NotRun.
+// settlements sends calls that must not be executed twice, up to three times under the same key and sometimes even
+// after a success.
 func (k *soak) settlements(worker int, end time.Time, r *rand.Rand) {
 	for n := 0; time.Now().Before(end); n++ {
 		key := fmt.Sprintf("settle-%d-%d", worker, n)
-		for try := 0; try < 3; try++ {
+		for attempt := 0; attempt < 3; attempt++ {
 			status, run, _ := k.settle(soakEntries[r.IntN(len(soakEntries))], "base-key", key)
 			k.mu.Lock()
 			if status == http.StatusOK {
-				k.oks[key]++
+				k.succeeded[key]++
 			}
-			k.ran[key] = append(k.ran[key], run)
+			k.runs[key] = append(k.runs[key], run)
 			k.mu.Unlock()
 			if status == http.StatusOK && r.IntN(3) > 0 {
 				break
@@ -138,7 +139,7 @@
 	}
 }
 
-// operators grants and withdraws keys and checks that an accepted change is in force at every entry.
+// operators grants and withdraws keys and checks that each accepted change is in force at all entries.
 func (k *soak) operators(end time.Time, r *rand.Rand) {
 	for n := 0; time.Now().Before(end); n++ {
 		id := fmt.Sprintf("key-%d", n)
@@ -152,20 +153,20 @@
 	}
 }
 
-func (k *soak) checkEverywhere(key string, forbidden int, complaint string) {
+func (k *soak) checkEverywhere(key string, forbidden int, violation string) {
 	var group sync.WaitGroup
 	for _, name := range soakEntries {
 		group.Go(func() {
-			status, text, _ := k.ask(name, key, prompt(key, 1, true))
+			status, text, _ := k.chat(name, key, prompt(key, 1, true))
 			if status == forbidden {
-				k.t.Errorf("%s at %s: %s", complaint, name, text)
+				k.t.Errorf("%s at %s: %s", violation, name, text)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// publishers lets two operators race on the same base version; one of them at most may win.
+// publishers publishes twice concurrently on the same base version; at most one of the two may be accepted.
 func (k *soak) publishers(end time.Time, r *rand.Rand) {
 	version := identifier.Version(1)
 	for time.Now().Before(end) {
@@ -200,9 +201,9 @@
 func (k *soak) injectFaults(end time.Time) {
 	for time.Now().Before(end) {
 		for range 1 + k.r.IntN(2) {
-			f := k.draw()
+			f := k.randomFault()
 			length := time.Duration(500+k.r.IntN(8000)) * time.Millisecond
-			k.note(f.name, length)
+			k.recordFault(f.name, length)
 			off := f.on()
 			if off == nil {
 				continue
@@ -216,11 +217,11 @@
 	}
 }
 
-func (k *soak) note(name string, length time.Duration) {
+func (k *soak) recordFault(name string, length time.Duration) {
 	k.faults = append(k.faults, fmt.Sprintf("%s %s for %s", time.Since(k.start).Round(time.Millisecond), name, length))
 }
 
-func (k *soak) draw() fault {
+func (k *soak) randomFault() fault {
 	entry := soakEntries[k.r.IntN(len(soakEntries))]
 	other := soakEntries[k.r.IntN(len(soakEntries))]
 	engine := []string{"engine-a", "engine-b", "engine-c", "engine-d", "engine-e"}[k.r.IntN(5)]
@@ -244,20 +245,20 @@
 	return faults[k.r.IntN(len(faults))]
 }
 
-// exclusive applies a fault unless the same one is in force.
+// exclusive applies a fault unless the same fault is active. It returns the function that ends the fault, or nil.
 func (k *soak) exclusive(name string, on, off func()) func() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.busy[name] {
+	if k.activeFaults[name] {
 		return nil
 	}
-	k.busy[name] = true
+	k.activeFaults[name] = true
 	on()
 	return func() {
 		off()
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		k.busy[name] = false
+		k.activeFaults[name] = false
 	}
 }
 
@@ -269,7 +270,7 @@
 	return k.exclusive("platform", func() { k.platform.SetFaults(f) }, func() { k.platform.SetFaults(imitator.PlatformFaults{}) })
 }
 
-// restart ends an entry, by kill or gracefully, and starts its next incarnation later.
+// restart returns the end of a restart fault: it kills or gracefully stops the entry and starts its next incarnation.
 func (k *soak) restart(name string, kill bool) func() {
 	var old *instance
 	return k.exclusive("restart "+name, func() { old = k.entries[name] }, func() {
@@ -281,18 +282,18 @@
 		}
 		<-old.done
 		k.network.Resume(name)
-		k.enterAgain(name)
+		k.startIncarnation(name)
 	})
 }
 
-func (k *soak) enterAgain(name string) {
+func (k *soak) startIncarnation(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.enter(name)
+	k.startEntry(name)
 }
 
-// judge checks what must hold once all faults are over.
-func (k *soak) judge() {
+// checkResults checks the conditions that must hold once all faults are over.
+func (k *soak) checkResults() {
 	c := quicktest.New(k.t)
 	time.Sleep(soakSettling)
 	defer func() {
@@ -302,26 +303,26 @@
 			}
 		}
 	}()
-	c.Check(k.members(), quicktest.Equals, len(soakEntries), quicktest.Commentf("entries that serve in the end"))
-	k.judgeTargets(c)
-	k.judgePlatform(c)
-	k.judgeUsage(c)
+	c.Check(k.servingEntries(), quicktest.Equals, len(soakEntries), quicktest.Commentf("entries that serve at the end"))
+	k.checkTargets(c)
+	k.checkPlatform(c)
+	k.checkUsage(c)
 	orders := 0
 	for _, e := range k.engines {
 		orders += e.Verdict().Orders
 	}
-	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.ran), k.platform.Verdict())
+	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.runs), k.platform.Verdict())
 	c.Check(k.finished > 20, quicktest.IsTrue, quicktest.Commentf("%d answers finished", k.finished))
 }
 
-func (k *soak) judgeTargets(c *quicktest.C) {
+func (k *soak) checkTargets(c *quicktest.C) {
 	service := k.service.Verdict()
-	for _, key := range slices.Sorted(maps.Keys(k.ran)) {
+	for _, key := range slices.Sorted(maps.Keys(k.runs)) {
 		n := service.Executions[key]
-		c.Check(n <= 1, quicktest.IsTrue, quicktest.Commentf("%s ran %d times", key, n))
-		allNotRun := !slices.ContainsFunc(k.ran[key], func(r answerer.Run) bool { return r != answerer.NotRun })
-		c.Check(allNotRun && n > 0, quicktest.IsFalse, quicktest.Commentf("%s was said not to have run", key))
-		c.Check(k.oks[key] > 0 && n == 0, quicktest.IsFalse, quicktest.Commentf("%s was answered and never ran", key))
+		c.Check(n <= 1, quicktest.IsTrue, quicktest.Commentf("%s was executed %d times", key, n))
+		allNotRun := !slices.ContainsFunc(k.runs[key], func(r answerer.Run) bool { return r != answerer.NotRun })
+		c.Check(allNotRun && n > 0, quicktest.IsFalse, quicktest.Commentf("%s was executed but reported as NotRun", key))
+		c.Check(k.succeeded[key] > 0 && n == 0, quicktest.IsFalse, quicktest.Commentf("%s was answered but never executed", key))
 	}
 	c.Check(service.KeysSeen, quicktest.Equals, 0)
 	for name, e := range k.engines {
@@ -331,15 +332,16 @@
 	}
 }
 
-func (k *soak) judgePlatform(c *quicktest.C) {
+func (k *soak) checkPlatform(c *quicktest.C) {
 	v := k.platform.Verdict()
 	c.Check(v.WrongReports, quicktest.Equals, 0)
 	c.Check(v.ConflictingOrders, quicktest.Equals, 0)
 }
 
-// judgeUsage compares the reports with what callers saw: an answer that was finished counts once.
-func (k *soak) judgeUsage(c *quicktest.C) {
-	sum, _ := k.reported()
+// checkUsage compares the usage reports with the answers that callers got: each finished answer must be counted once;
+// uncertain answers and settlements may be counted as well.
+func (k *soak) checkUsage(c *quicktest.C) {
+	sum, _ := k.reportedUsage()
 	settled := 0
 	for _, n := range k.service.Verdict().Executions {
 		settled += n
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -14,39 +14,40 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
 )
 
-// reportedAfterKill finishes answers at an entry, kills it at once, and returns how many are reported in the end.
+// reportedAfterKill finishes eight answers at an entry, kills it immediately afterwards, and returns how many of them
+// are finally reported.
 func reportedAfterKill(t *testing.T, mirrored bool) (requests int64) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		if !mirrored {
 			s.network.Cut("entry-b", "entry-a")
 			s.network.Cut("entry-b", "entry-c")
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 300})
-		answers := s.stream("entry-b", 8, 10)
+		answers := s.startAnswers("entry-b", 8, 10)
 		for range 8 {
 			quicktest.Check(t, (<-answers).whole, quicktest.IsTrue)
 		}
 		s.kill("entry-b")
 		s.platform.SetFaults(imitator.PlatformFaults{})
 		time.Sleep(40 * time.Second)
-		sum, _ := s.reported()
+		sum, _ := s.reportedUsage()
 		requests = sum["tabline"].Requests
 	})
 	return requests
 }
 
 func TestUsageOfAKilledEntryIsReported(t *testing.T) {
-	alone := reportedAfterKill(t, false)
-	quicktest.Check(t, alone < 8, quicktest.IsTrue, quicktest.Commentf("without a peer's copy usage is lost: %d of 8", alone))
+	unmirrored := reportedAfterKill(t, false)
+	quicktest.Check(t, unmirrored < 8, quicktest.IsTrue, quicktest.Commentf("without a peer's copy usage is lost: %d of 8", unmirrored))
 	quicktest.Check(t, reportedAfterKill(t, true), quicktest.Equals, int64(8))
 }
 
-func TestReportsAreTheSameOnEachTry(t *testing.T) {
+func TestRepeatedReportsAreIdentical(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
-		s.up("entry-a", "entry-b", "entry-c")
+		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		finished := int64(0)
 		for range 6 {
@@ -56,7 +57,7 @@
 				time.Sleep(5 * time.Second)
 				s.network.Resume(name)
 				time.Sleep(2 * time.Second)
-				if _, _, whole := s.ask(name, "secret", prompt("x", 5, true)); whole {
+				if _, _, whole := s.chat(name, "secret", prompt("x", 5, true)); whole {
 					finished++
 				}
 			}
@@ -65,7 +66,7 @@
 		time.Sleep(30 * time.Second)
 		v := s.platform.Verdict()
 		c.Check(v.WrongReports, quicktest.Equals, 0)
-		sum, windows := s.reported()
+		sum, windows := s.reportedUsage()
 		c.Check(windows > 5, quicktest.IsTrue)
 		c.Check(sum["tabline"].Requests, quicktest.Equals, finished)
 		c.Check(sum["tabline"].OutputTokens, quicktest.Equals, 5*finished)
@@ -75,23 +76,23 @@
 
 func TestRefusedRequestsAreCounted(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.up("entry-a", "entry-b")
+		s.startEntries("entry-a", "entry-b")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.call("entry-a", "POST", "/private", "secret", nil, nil)
 		for _, e := range s.engines {
 			e.Crash()
 		}
-		s.ask("entry-a", "secret", prompt("x", 5, true))
+		s.chat("entry-a", "secret", prompt("x", 5, true))
 		time.Sleep(25 * time.Second)
-		sum, _ := s.reported()
+		sum, _ := s.reportedUsage()
 		quicktest.Check(t, sum["tabline"].Refused, quicktest.Equals, int64(2))
 		quicktest.Check(t, sum["tabline"].Requests, quicktest.Equals, int64(0))
 	})
 }
 
-func TestCutRequestIsCountedWithWhatItGot(t *testing.T) {
+func TestCutRequestIsCountedWithItsTokens(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.up("entry-a", "entry-b")
+		s.startEntries("entry-a", "entry-b")
 		s.grant("entry-a", "k", "tabline", "secret")
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
@@ -105,7 +106,7 @@
 		got, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		time.Sleep(25 * time.Second)
-		sum, _ := s.reported()
+		sum, _ := s.reportedUsage()
 		tokens := int64(bytes.Count(got, []byte("data: ")))
 		quicktest.Check(t, sum["tabline"].Cut, quicktest.Equals, int64(1))
 		quicktest.Check(t, sum["tabline"].Requests, quicktest.Equals, int64(0))
