--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -18,18 +18,18 @@
 	}
 }
 
-// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is isolated, and reports whether entry-c accepts the key
-// afterwards.
+// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is isolated, and reports whether entry-c accepts the
+// key afterwards.
 func withdrawnKeyAccepted(t *testing.T, freshness time.Duration) (accepted bool) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.freshness = map[string]time.Duration{"entry-c": freshness}
 		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		s.isolate("entry-c", "entry-a", "entry-b")
-		began := time.Now()
+		started := time.Now()
 		status, body := s.withdraw("entry-a", "k")
 		quicktest.Assert(t, status, quicktest.Equals, http.StatusOK, quicktest.Commentf(body))
-		quicktest.Check(t, time.Since(began) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("in force after %s", time.Since(began)))
+		quicktest.Check(t, time.Since(started) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("in force after %s", time.Since(started)))
 		status, _, _ = s.chat("entry-c", "secret", prompt("x", 1, true))
 		accepted = status == http.StatusOK
 	})
@@ -142,10 +142,10 @@
 			time.Sleep(10 * time.Second)
 			status, _, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
 			c.Check(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: it keeps serving", name))
-			began := time.Now()
+			started := time.Now()
 			status, body := s.withdraw("entry-a", "k")
 			c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf("%s: %s", name, body))
-			c.Check(time.Since(began) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("%s: %s", name, time.Since(began)))
+			c.Check(time.Since(started) <= 4*time.Second, quicktest.IsTrue, quicktest.Commentf("%s: %s", name, time.Since(started)))
 			// An entry that none of its peers reaches for 10 s is evicted and then refuses all requests.
 			status, text, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
 			c.Check(status == http.StatusUnauthorized || status == http.StatusServiceUnavailable, quicktest.IsTrue, quicktest.Commentf("%s: %d", name, status))
--- a/internal/runner/leaving_test.go
+++ b/internal/runner/leaving_test.go
@@ -14,9 +14,9 @@
 
 // answer is the result of one chat completion.
 type answer struct {
-	req   chatter.Request
-	text  string
-	whole bool
+	req      chatter.Request
+	text     string
+	complete bool
 }
 
 // startAnswers requests count streamed answers of the given number of tokens at an entry.
@@ -25,8 +25,8 @@
 	for i := range count {
 		go func() {
 			req := prompt(name+string(rune('a'+i)), tokens, true)
-			_, text, whole := s.chat(name, "secret", req)
-			answers <- answer{req, text, whole}
+			_, text, complete := s.chat(name, "secret", req)
+			answers <- answer{req, text, complete}
 		}()
 	}
 	return answers
@@ -44,7 +44,7 @@
 		b := s.entries["entry-b"]
 		b.stop()
 		for range 5 {
-			if a := <-answers; !a.whole || a.text != expectedText(a.req) {
+			if a := <-answers; !a.complete || a.text != expectedText(a.req) {
 				cut++
 			}
 		}
@@ -72,7 +72,7 @@
 		quicktest.Check(t, body, quicktest.Not(quicktest.Contains), "entry-b:1")
 		status, _, _ := s.chat("entry-b", "secret", prompt("cached address", 1, true))
 		quicktest.Check(t, status, quicktest.Equals, http.StatusOK, quicktest.Commentf("callers may still have the address cached"))
-		quicktest.Check(t, (<-answers).whole, quicktest.IsTrue)
+		quicktest.Check(t, (<-answers).complete, quicktest.IsTrue)
 		<-b.done
 		delete(s.entries, "entry-b")
 		s.waitFor(2*time.Second, func() bool {
@@ -93,14 +93,14 @@
 		c.Check(before > 0, quicktest.IsTrue)
 		s.engines["engine-a"].Leave()
 		time.Sleep(2 * time.Second)
-		grace := s.engines["engine-a"].Verdict().Started
-		more := s.startAnswers("entry-b", 20, 20)
+		startedAfterNotice := s.engines["engine-a"].Verdict().Started
+		lateAnswers := s.startAnswers("entry-b", 20, 20)
 		for range 20 {
-			c.Check((<-answers).whole, quicktest.IsTrue)
-			c.Check((<-more).whole, quicktest.IsTrue)
+			c.Check((<-answers).complete, quicktest.IsTrue)
+			c.Check((<-lateAnswers).complete, quicktest.IsTrue)
 		}
 		v := s.engines["engine-a"].Verdict()
-		c.Check(v.Started, quicktest.Equals, grace, quicktest.Commentf("new work two seconds after the engine announced that it leaves"))
+		c.Check(v.Started, quicktest.Equals, startedAfterNotice, quicktest.Commentf("new work two seconds after the engine announced that it leaves"))
 		c.Check(v.Cut, quicktest.Equals, 0)
 	})
 }
@@ -114,7 +114,7 @@
 		s.engines["engine-c"].Crash()
 		for range 30 {
 			a := <-answers
-			quicktest.Check(t, a.whole, quicktest.IsTrue)
+			quicktest.Check(t, a.complete, quicktest.IsTrue)
 			quicktest.Check(t, a.text, quicktest.Equals, expectedText(a.req))
 		}
 	})
@@ -124,9 +124,9 @@
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startEntries("entry-a", "entry-b")
 		s.grant("entry-a", "k", "tabline", "secret")
-		listed := s.startAnswers("entry-a", 20, 10)
+		firstAnswers := s.startAnswers("entry-a", 20, 10)
 		for range 20 {
-			<-listed
+			<-firstAnswers
 		}
 		quicktest.Check(t, s.engines["engine-a"].Verdict().Started > 0, quicktest.IsTrue, quicktest.Commentf("work before the target is listed as leaving"))
 		s.platform.SetInstances([]provider.Instance{{ID: "entry-a"}, {ID: "entry-b"}, {ID: "engine-a", Leaving: true}, {ID: "engine-b"}, {ID: "engine-c"}})
@@ -134,7 +134,7 @@
 		before := s.engines["engine-a"].Verdict().Started
 		answers := s.startAnswers("entry-b", 20, 10)
 		for range 20 {
-			quicktest.Check(t, (<-answers).whole, quicktest.IsTrue)
+			quicktest.Check(t, (<-answers).complete, quicktest.IsTrue)
 		}
 		quicktest.Check(t, s.engines["engine-a"].Verdict().Started, quicktest.Equals, before)
 	})
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -13,8 +13,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
 )
 
-// sweepKillTimes kills the serving entry at points in time from acceptance to answer, repeats the call at another entry,
-// and returns the maximum number of executions of one call.
+// sweepKillTimes kills the serving entry at points in time from acceptance to answer, repeats the call at another
+// entry, and returns the maximum number of executions of one call.
 func sweepKillTimes(t *testing.T, rules string) int {
 	maximum := 0
 	inBubble(t, func(t *testing.T, s *site) {
@@ -46,8 +46,8 @@
 }
 
 func TestCallRunsAtMostOnceWhenEntriesAreKilled(t *testing.T) {
-	plain := sweepKillTimes(t, strings.Replace(rulesText, "[Route /settlements]\n", "[Route /settlements]\nRepeatable = true\n", 1))
-	quicktest.Check(t, plain > 1, quicktest.IsTrue, quicktest.Commentf("without the journal a call is executed again: %d", plain))
+	unjournaled := sweepKillTimes(t, strings.Replace(rulesText, "[Route /settlements]\n", "[Route /settlements]\nRepeatable = true\n", 1))
+	quicktest.Check(t, unjournaled > 1, quicktest.IsTrue, quicktest.Commentf("without the journal a call is executed again: %d", unjournaled))
 	quicktest.Check(t, sweepKillTimes(t, rulesText), quicktest.Equals, 1)
 }
 
--- a/internal/runner/path_test.go
+++ b/internal/runner/path_test.go
@@ -21,9 +21,9 @@
 		for _, name := range []string{"entry-a", "entry-b", "entry-c"} {
 			for _, stream := range []bool{true, false} {
 				req := prompt("tab of table 7 at "+name, 20, stream)
-				status, text, whole := s.chat(name, "secret", req)
+				status, text, complete := s.chat(name, "secret", req)
 				c.Assert(status, quicktest.Equals, http.StatusOK, quicktest.Commentf(text))
-				c.Check(whole, quicktest.IsTrue)
+				c.Check(complete, quicktest.IsTrue)
 				c.Check(text, quicktest.Equals, expectedText(req))
 			}
 		}
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -76,8 +76,8 @@
 	done chan error
 }
 
-// inBubble runs f with a site in a synctest bubble. The garbage collections empty the sync.Pools of libraries, so that no
-// object is shared between bubbles.
+// inBubble runs f with a site in a synctest bubble. The garbage collections empty the pools of the libraries,
+// so that bubbles don't share pooled objects.
 func inBubble(t *testing.T, f func(t *testing.T, s *site)) {
 	runtime.GC()
 	runtime.GC()
@@ -200,8 +200,8 @@
 
 func (s *site) waitFor(limit time.Duration, cond func() bool) {
 	s.t.Helper()
-	for began := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
-		if time.Since(began) > limit {
+	for started := time.Now(); !cond(); time.Sleep(50 * time.Millisecond) {
+		if time.Since(started) > limit {
 			s.t.Fatalf("condition not met within %s", limit)
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // chat requests a chat completion and returns the status, the text, and whether the answer was complete.
-func (s *site) chat(name, key string, req chatter.Request) (status int, text string, whole bool) {
+func (s *site) chat(name, key string, req chatter.Request) (status int, text string, complete bool) {
 	status, body := s.call(name, http.MethodPost, "/v1/chat/completions", key, nil, req)
 	if status != http.StatusOK {
 		return status, body, false
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -102,10 +102,10 @@
 func (k *soak) callers(worker int, end time.Time, r *rand.Rand) {
 	for n := 0; time.Now().Before(end); n++ {
 		req := prompt(fmt.Sprintf("worker %d request %d", worker, n), 1+r.Int64N(60), r.IntN(2) == 0)
-		status, text, whole := k.chat(soakEntries[r.IntN(len(soakEntries))], "base-key", req)
+		status, text, complete := k.chat(soakEntries[r.IntN(len(soakEntries))], "base-key", req)
 		k.mu.Lock()
 		switch {
-		case whole:
+		case complete:
 			k.finished++
 			quicktest.Check(k.t, text, quicktest.Equals, expectedText(req))
 		case status == 0 || status == http.StatusOK:
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -25,8 +25,8 @@
 	Orders       []*recorder.Order
 }
 
-// UsageAnswer is an entry instance's answer to /operator/usage: the usage of the open window as folded by this instance,
-// and the closed windows that are not yet reported.
+// UsageAnswer is an entry instance's answer to /operator/usage: the usage of the open window as folded by this
+// instance, and the closed windows that are not yet reported.
 type UsageAnswer struct {
 	Window     uint64
 	Teams      []*recorder.TeamUsage
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -27,7 +27,7 @@
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 300})
 		answers := s.startAnswers("entry-b", 8, 10)
 		for range 8 {
-			quicktest.Check(t, (<-answers).whole, quicktest.IsTrue)
+			quicktest.Check(t, (<-answers).complete, quicktest.IsTrue)
 		}
 		s.kill("entry-b")
 		s.platform.SetFaults(imitator.PlatformFaults{})
@@ -57,7 +57,7 @@
 				time.Sleep(5 * time.Second)
 				s.network.Resume(name)
 				time.Sleep(2 * time.Second)
-				if _, _, whole := s.chat(name, "secret", prompt("x", 5, true)); whole {
+				if _, _, complete := s.chat(name, "secret", prompt("x", 5, true)); complete {
 					finished++
 				}
 			}
