--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -27,8 +27,8 @@
 	Interval time.Duration
 	// Members returns the members in force.
 	Members func() map[string]*recorder.Member
-	// Beat returns this instance's heartbeat.
-	Beat func() *messenger.Heartbeat
+	// LocalHeartbeat returns this instance's heartbeat.
+	LocalHeartbeat func() *messenger.Heartbeat
 
 	mu    sync.Mutex
 	heard map[string]heard
@@ -82,17 +82,17 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*o.Interval)
 	defer cancel()
 	sentAt := time.Now()
-	req := &messenger.Request{Body: &messenger.Request_Heartbeat{Heartbeat: o.Beat()}}
+	req := &messenger.Request{Body: &messenger.Request_Heartbeat{Heartbeat: o.LocalHeartbeat()}}
 	reply, err := o.Caller.Call(ctx, m.PeerAddress, req)
 	if err != nil || reply.Heartbeat == nil {
 		return
 	}
-	o.Note(reply.Heartbeat, sentAt)
+	o.RecordHeartbeat(reply.Heartbeat, sentAt)
 	o.freshen(ctx, m, reply.Heartbeat, sentAt)
 }
 
-// Note records a heartbeat that was surely current at the instant sentAt.
-func (o *Observer) Note(beat *messenger.Heartbeat, sentAt time.Time) {
+// RecordHeartbeat records a heartbeat that was surely current at the instant sentAt.
+func (o *Observer) RecordHeartbeat(beat *messenger.Heartbeat, sentAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.heard == nil {
@@ -138,7 +138,7 @@
 // process is gone, because the other one has taken over its address.
 func (o *Observer) View() []freshener.Member {
 	members := o.Members()
-	self := o.Beat()
+	self := o.LocalHeartbeat()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	list := make([]freshener.Member, 0, len(members))
@@ -173,8 +173,8 @@
 	return o.since[incarnation]
 }
 
-// Beats returns copies of the heartbeats heard within the given age.
-func (o *Observer) Beats(age time.Duration) []*messenger.Heartbeat {
+// RecentHeartbeats returns copies of the heartbeats heard within the given age.
+func (o *Observer) RecentHeartbeats(age time.Duration) []*messenger.Heartbeat {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var list []*messenger.Heartbeat
@@ -199,8 +199,8 @@
 	return list
 }
 
-// Silent returns how long nothing was heard of an incarnation, or false where it never was.
-func (o *Observer) Silent(instance, incarnation string) (time.Duration, bool) {
+// SilentFor returns how long nothing was heard of an incarnation, or false where it never was.
+func (o *Observer) SilentFor(instance, incarnation string) (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	h, ok := o.heard[instance]
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -171,8 +171,8 @@
 	e.peers = &exchanger.Client{Dial: e.network.Dial, Logger: e.logger}
 	e.observer = &observer.Observer{
 		Self: e.member, Config: e.config, Caller: e.peers, Interval: e.settings.Timing.Heartbeat,
-		Members: func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
-		Beat:    e.beat,
+		Members:        func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
+		LocalHeartbeat: e.beat,
 	}
 	e.admin = &administrator.Administrator{
 		Config: e.config, Fold: &e.configFold, Members: e.observer.View, Logger: e.logger,
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -107,7 +107,7 @@
 func (e *Entry) gone(listed map[string]bool, absent map[string]time.Time) map[string]bool {
 	gone := map[string]bool{}
 	for id, m := range e.view.Load().State.GetMembers() {
-		silent, heard := e.observer.Silent(id, m.Incarnation)
+		silent, heard := e.observer.SilentFor(id, m.Incarnation)
 		if listed[id] || id == e.member.Instance || heard && silent < goneAfter {
 			delete(absent, id)
 			continue
@@ -158,7 +158,7 @@
 func (e *Entry) noteHeard(members map[string]*recorder.Member, lastSeen map[string]time.Time) {
 	now := time.Now()
 	heard := map[string]bool{}
-	for _, beat := range e.observer.Beats(addressSilence) {
+	for _, beat := range e.observer.RecentHeartbeats(addressSilence) {
 		heard[beat.Instance] = true
 		for _, id := range beat.Hears {
 			heard[id] = true
@@ -178,7 +178,7 @@
 		zone = e.settings.Zone
 	}
 	leaving := map[string]bool{e.member.Instance: e.leaving.Load()}
-	for _, beat := range e.observer.Beats(beatMaximumAge) {
+	for _, beat := range e.observer.RecentHeartbeats(beatMaximumAge) {
 		leaving[beat.Instance] = beat.Leaving
 	}
 	var near, far []caller.Address
@@ -203,7 +203,7 @@
 
 // quiet reports whether a member has not answered heartbeats lately.
 func (e *Entry) quiet(m *recorder.Member) bool {
-	silent, ok := e.observer.Silent(m.Instance, m.Incarnation)
+	silent, ok := e.observer.SilentFor(m.Instance, m.Incarnation)
 	return ok && silent > addressSilence
 }
 
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -68,7 +68,7 @@
 // allRates adds the rates that the other entries sent with their heartbeats to those of this one.
 func (e *Entry) allRates() map[limiter.RateKey]limiter.Rate {
 	total := e.meter.Rates()
-	for _, beat := range e.observer.Beats(beatMaximumAge) {
+	for _, beat := range e.observer.RecentHeartbeats(beatMaximumAge) {
 		for _, r := range beat.Rates {
 			s := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
 			t := total[s]
