--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -23,13 +23,13 @@
 
 // Administrator appends changes of the configuration; all exported fields must be set.
 type Administrator struct {
-	Config    *tailer.Tailer
-	Fold      *configurator.Fold
-	Members   func() []freshener.Member
-	Removed   func() time.Time
-	Freshness time.Duration
-	Margin    time.Duration
-	Logger    *zap.Logger
+	Config      *tailer.Tailer
+	Fold        *configurator.Fold
+	Members     func() []freshener.Member
+	LastRemoval func() time.Time
+	Freshness   time.Duration
+	Margin      time.Duration
+	Logger      *zap.Logger
 }
 
 // Change appends a record and returns its offset once it is in force everywhere; a lost race is configurator.ErrConflict.
@@ -44,7 +44,7 @@
 	}
 	started := time.Now()
 	acceptance := freshener.Acceptance{Offset: offset, Bound: a.Freshness, Margin: a.Margin}
-	for !acceptance.InForce(time.Now(), a.Removed(), a.Members()) {
+	for !acceptance.InForce(time.Now(), a.LastRemoval(), a.Members()) {
 		if err := sleeper.Sleep(ctx, pollInterval); err != nil {
 			return offset, fmt.Errorf("%w: offset %d", ErrNotInForce, offset)
 		}
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -176,8 +176,8 @@
 	}
 	e.admin = &administrator.Administrator{
 		Config: e.config, Fold: &e.configFold, Members: e.observer.View, Logger: e.logger,
-		Removed:   func() time.Time { return time.Unix(0, e.removed.Load()) },
-		Freshness: e.settings.Timing.Freshness, Margin: e.settings.Timing.DriftMargin,
+		LastRemoval: func() time.Time { return time.Unix(0, e.removed.Load()) },
+		Freshness:   e.settings.Timing.Freshness, Margin: e.settings.Timing.DriftMargin,
 	}
 }
 
