--- a/internal/commander/key.go
+++ b/internal/commander/key.go
@@ -30,13 +30,13 @@
 func (c *grantCommand) run(env *Environment) error {
 	key := rand.Text()
 	in := server.GrantRequest{ID: identifier.KeyID(c.ID), Hash: identifier.HashKey(key), Team: identifier.TeamID(c.Team)}
-	var answer server.ChangeAnswer
+	var answer server.ChangeResponse
 	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/keys", in, &answer); err != nil {
 		return err
 	}
 	if c.JSON {
 		return printJSON(env, struct {
-			server.ChangeAnswer
+			server.ChangeResponse
 			Key string
 		}{answer, key})
 	}
@@ -57,7 +57,7 @@
 }
 
 func (c *withdrawCommand) run(env *Environment) error {
-	var answer server.ChangeAnswer
+	var answer server.ChangeResponse
 	if err := callOperator(env, &c.Site, &c.Operator, http.MethodDelete, "/operator/keys/"+url.PathEscape(c.ID), nil, &answer); err != nil {
 		return err
 	}
--- a/internal/commander/publish.go
+++ b/internal/commander/publish.go
@@ -50,13 +50,13 @@
 func (c *publishCommand) run(env *Environment) error {
 	c.request.BaseVersion = identifier.Version(c.Base)
 	if c.Base < 0 {
-		var current server.InventoryAnswer
+		var current server.InventoryResponse
 		if err := callOperator(env, &c.Site, &c.Operator, http.MethodGet, "/operator/inventory", nil, &current); err != nil {
 			return err
 		}
 		c.request.BaseVersion = current.Version
 	}
-	var answer server.ChangeAnswer
+	var answer server.ChangeResponse
 	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/publish", c.request, &answer); err != nil {
 		return err
 	}
--- a/internal/commander/query.go
+++ b/internal/commander/query.go
@@ -51,7 +51,7 @@
 type inventoryQuery struct{ operatorQuery }
 
 func (q *inventoryQuery) run(env *Environment) error {
-	var a server.InventoryAnswer
+	var a server.InventoryResponse
 	if err := q.get(env, "/operator/inventory", &a); err != nil {
 		return err
 	}
--- a/internal/server/commands.go
+++ b/internal/server/commands.go
@@ -39,8 +39,8 @@
 	Team identifier.TeamID
 }
 
-// ChangeAnswer tells that a change is in force everywhere.
-type ChangeAnswer struct {
+// ChangeResponse tells that a change is in force everywhere.
+type ChangeResponse struct {
 	Offset              identifier.Offset
 	Version             identifier.Version
 	InForceMilliseconds int64
@@ -119,7 +119,7 @@
 	switch {
 	case err == nil:
 		version := identifier.Version(s.View().State.GetVersion())
-		writeJSON(w, ChangeAnswer{Offset: offset, Version: version, InForceMilliseconds: time.Since(started).Milliseconds()})
+		writeJSON(w, ChangeResponse{Offset: offset, Version: version, InForceMilliseconds: time.Since(started).Milliseconds()})
 		return
 	case errors.Is(err, configurator.ErrConflict):
 		refusal.Status, refusal.Code, refusal.Run, refusal.Return = http.StatusConflict, answerer.CodeConflict, answerer.NotRun, 0
--- a/internal/server/queries.go
+++ b/internal/server/queries.go
@@ -8,8 +8,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// InventoryAnswer is the configuration in force, without key hashes.
-type InventoryAnswer struct {
+// InventoryResponse is the configuration in force, without key hashes.
+type InventoryResponse struct {
 	Version   identifier.Version
 	Inventory *recorder.Inventory
 	Rules     *recorder.Rules
@@ -18,7 +18,7 @@
 
 func (s *Server) inventory(w http.ResponseWriter, _ *http.Request) {
 	state := s.View().State
-	answer := InventoryAnswer{
+	answer := InventoryResponse{
 		Version:   identifier.Version(state.GetVersion()),
 		Inventory: state.GetInventory(),
 		Rules:     state.GetRules(),
