--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -122,7 +122,7 @@
 	switch result := entry.Result; {
 	case entry.Digest != digest:
 		s.refuse(v.call, &answerer.Refusal{
-			Status: http.StatusUnprocessableEntity, Code: answerer.CodeKeyReused, Run: answerer.NotRun,
+			Status: http.StatusUnprocessableEntity, Code: answerer.CodeIdempotencyKeyReused, Run: answerer.NotRun,
 			Message: "the idempotency key was used for a different call",
 		})
 	case result == nil:
@@ -180,7 +180,7 @@
 
 func journalUnavailable() *answerer.Refusal {
 	return &answerer.Refusal{
-		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalDown, Run: answerer.NotRun,
+		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalUnavailable, Run: answerer.NotRun,
 		Message: "the call cannot be recorded now, so it was not sent", Return: journalRetryAfter,
 	}
 }
@@ -194,7 +194,7 @@
 
 func outcomeUnknown() *answerer.Refusal {
 	return &answerer.Refusal{
-		Status: http.StatusConflict, Code: answerer.CodeOutcomeOpen, Run: answerer.Unknown,
+		Status: http.StatusConflict, Code: answerer.CodeOutcomeUnknown, Run: answerer.Unknown,
 		Message: "a call with this idempotency key was sent and its outcome is unknown", Return: shortRetryAfter,
 	}
 }
