--- a/internal/chatter/chatter_test.go
+++ b/internal/chatter/chatter_test.go
@@ -43,8 +43,8 @@
 		return chatter.Request{Model: "m", Messages: []chatter.Message{{Role: "user", Content: text}}}
 	}
 	shared := strings.Repeat("a", 8000)
-	one := prompt(shared + strings.Repeat("b", 9000)).Pieces()
-	other := prompt(shared + strings.Repeat("c", 9000)).Pieces()
+	one := prompt(shared + strings.Repeat("b", 9000)).PartHashes()
+	other := prompt(shared + strings.Repeat("c", 9000)).PartHashes()
 	quicktest.Check(t, one, quicktest.HasLen, 2)
 	quicktest.Check(t, one[0] == other[0] && one[1] != other[1], quicktest.IsTrue)
 }
@@ -74,6 +74,6 @@
 			return
 		}
 		quicktest.Assert(t, r.PromptTokens() > 0 && r.OutputLimit() > 0, quicktest.IsTrue)
-		r.Pieces()
+		r.PartHashes()
 	})
 }
--- a/internal/chatter/completion.go
+++ b/internal/chatter/completion.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PieceTokens is the size of a prefix-cache piece in tokens.
-const PieceTokens = 2000
+// PartTokens is the size of a prefix-cache piece in tokens.
+const PartTokens = 2000
 
 const (
 	bytesPerToken      = 4
@@ -115,9 +115,9 @@
 	return r.MaxTokens
 }
 
-// Pieces returns the chained hashes of the prompt's whole prefix-cache pieces.
-func (r Request) Pieces() []uint64 {
-	const size = PieceTokens * bytesPerToken
+// PartHashes returns the chained hashes of the prompt's whole prefix-cache pieces.
+func (r Request) PartHashes() []uint64 {
+	const size = PartTokens * bytesPerToken
 	prompt := r.Prompt()
 	hashes := make([]uint64, 0, len(prompt)/size)
 	d := xxhash.New()
--- a/internal/evaluator/engine_test.go
+++ b/internal/evaluator/engine_test.go
@@ -15,7 +15,7 @@
 	fullStep     = stepBase + engineSlots*stepPerToken
 	prefillChunk = 512
 	engineSlots  = 32
-	pieceTokens  = chatter.PieceTokens
+	pieceTokens  = chatter.PartTokens
 	cachePieces  = 64
 	changeTime   = 3 * time.Second
 	promisedGap  = 53 * time.Millisecond
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -213,9 +213,9 @@
 // prefill takes the engine's prefill unit for as long as the uncached prompt needs.
 func (e *Engine) prefill(r *http.Request, crash <-chan struct{}, req chatter.Request) bool {
 	tokens := req.PromptTokens()
-	pieces := req.Pieces()
+	pieces := req.PartHashes()
 	e.mu.Lock()
-	cached := min(tokens, e.cache.hit(pieces)*chatter.PieceTokens)
+	cached := min(tokens, e.cache.hit(pieces)*chatter.PartTokens)
 	if r.Header.Get(chatter.HandleHeader) != "" {
 		cached = tokens
 	}
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -79,7 +79,7 @@
 		call:         c,
 		request:      request,
 		body:         rewriteBody(body, c.view.Priority(c.team)),
-		parts:        request.Pieces(),
+		parts:        request.PartHashes(),
 		promptTokens: identifier.Tokens(request.PromptTokens()),
 		tried:        map[identifier.TargetID]bool{},
 		startedAt:    time.Now(),
