--- a/internal/configurator/doc.go
+++ b/internal/configurator/doc.go
@@ -1,2 +1,2 @@
-// Package configurator folds the Config stream into inventory, rules, keys and members.
+// Package configurator folds the Config stream into the inventory, rules, keys and members, and indexes them for look-ups.
 package configurator
--- a/internal/configurator/fold.go
+++ b/internal/configurator/fold.go
@@ -11,12 +11,12 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrConflict is returned to the operator whose publish was based on an older version.
+// ErrConflict is returned for a change that does not fit the state in force, such as one based on an older version.
 var ErrConflict = errors.New("conflict")
 
-const verdictLimit = 512
+const maximumVerdicts = 512
 
-// Fold is the state of the Config stream; the zero value is the state before the first record.
+// Fold is the state folded from the Config stream. The zero value is the state before the first record.
 type Fold struct {
 	state recorder.ConfigState
 }
@@ -29,7 +29,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&f.state)
 }
 
-// Restore replaces the state by an encoded one.
+// Restore replaces the state with a snapshot.
 func (f *Fold) Restore(state []byte) error {
 	proto.Reset(&f.state)
 	return proto.Unmarshal(state, &f.state)
@@ -40,7 +40,8 @@
 	return proto.Clone(&f.state).(*recorder.ConfigState)
 }
 
-// Verdict returns what became of a record, or nil where it is not known.
+// Verdict returns whether a record was accepted, and why not. It returns nil for records that were not applied and
+// for those whose verdict is no longer kept.
 func (f *Fold) Verdict(recordID string) *recorder.Verdict {
 	for _, v := range f.state.Verdicts {
 		if v.RecordID == recordID {
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// Apply folds in the record at offset; records of other streams' types have no effect.
+// Apply folds the record at offset into the state. Records that have a verdict already, and record types of other
+// streams, only advance Next.
 func (f *Fold) Apply(offset identifier.Offset, r *recorder.Record) {
 	f.state.Next = uint64(offset) + 1
 	if f.Verdict(r.ID) != nil {
@@ -59,25 +61,25 @@
 	var err error
 	switch b := r.Body.(type) {
 	case *recorder.Record_Publish:
-		err = f.publish(b.Publish)
+		err = f.applyPublish(b.Publish)
 	case *recorder.Record_KeyGrant:
-		err = f.grant(b.KeyGrant.GetKey())
+		err = f.applyGrant(b.KeyGrant.GetKey())
 	case *recorder.Record_KeyWithdraw:
-		err = f.withdraw(b.KeyWithdraw.GetID())
+		err = f.applyWithdraw(b.KeyWithdraw.GetID())
 	case *recorder.Record_Join:
-		err = f.join(offset, b.Join)
+		err = f.applyJoin(offset, b.Join)
 	case *recorder.Record_Leave:
-		f.leave(b.Leave.GetInstance(), b.Leave.GetIncarnation())
+		f.applyLeave(b.Leave.GetInstance(), b.Leave.GetIncarnation())
 		return
 	case *recorder.Record_Evict:
-		err = f.evict(offset, b.Evict)
+		err = f.applyEvict(offset, b.Evict)
 	default:
 		return
 	}
-	f.note(offset, r.ID, err)
+	f.addVerdict(offset, r.ID, err)
 }
 
-func (f *Fold) publish(p *recorder.Publish) error {
+func (f *Fold) applyPublish(p *recorder.Publish) error {
 	if p.BaseVersion != f.state.Version {
 		return fmt.Errorf("%w: based on version %d, in force is %d", ErrConflict, p.BaseVersion, f.state.Version)
 	}
@@ -87,7 +89,7 @@
 	return nil
 }
 
-func (f *Fold) grant(k *recorder.Key) error {
+func (f *Fold) applyGrant(k *recorder.Key) error {
 	if k == nil || k.ID == "" || k.Hash == "" {
 		return fmt.Errorf("%w: empty key", ErrConflict)
 	}
@@ -106,7 +108,7 @@
 	return nil
 }
 
-func (f *Fold) withdraw(id string) error {
+func (f *Fold) applyWithdraw(id string) error {
 	for hash, k := range f.state.Keys {
 		if k.ID == id {
 			delete(f.state.Keys, hash)
@@ -120,14 +122,12 @@
 	return fmt.Errorf("%w: no key %s", ErrConflict, id)
 }
 
-// join adds a member. Members change one at a time: the writer has seen a majority acknowledge the
-// membership that it names, so majorities of successive memberships share an instance.
-func (f *Fold) join(offset identifier.Offset, j *recorder.Join) error {
+func (f *Fold) applyJoin(offset identifier.Offset, j *recorder.Join) error {
 	m := j.GetMember()
 	if m.GetInstance() == "" {
 		return fmt.Errorf("%w: member without an id", ErrConflict)
 	}
-	if err := f.changeMembers(offset, j.MembersVersion); err != nil {
+	if err := f.advanceMembership(offset, j.MembersVersion); err != nil {
 		return err
 	}
 	if f.state.Members == nil {
@@ -137,7 +137,10 @@
 	return nil
 }
 
-func (f *Fold) changeMembers(offset identifier.Offset, base uint64) error {
+// advanceMembership increments the membership version if base is the version in force. Members change one at a time:
+// a writer names a version only after a majority has acknowledged it, so majorities of successive memberships have
+// an instance in common.
+func (f *Fold) advanceMembership(offset identifier.Offset, base uint64) error {
 	if base != f.state.MembersVersion {
 		return fmt.Errorf("%w: based on membership %d, in force is %d", ErrConflict, base, f.state.MembersVersion)
 	}
@@ -146,40 +149,41 @@
 	return nil
 }
 
-func (f *Fold) leave(instance, incarnation string) {
+// applyLeave marks a member as leaving. It stays a member until it is evicted.
+func (f *Fold) applyLeave(instance, incarnation string) {
 	m := f.state.Members[instance]
 	if m == nil || m.Incarnation != incarnation {
 		return
 	}
-	left := proto.Clone(m).(*recorder.Member)
-	left.Leaving = true
-	f.state.Members[instance] = left
+	leaving := proto.Clone(m).(*recorder.Member)
+	leaving.Leaving = true
+	f.state.Members[instance] = leaving
 }
 
-func (f *Fold) evict(offset identifier.Offset, e *recorder.Evict) error {
+func (f *Fold) applyEvict(offset identifier.Offset, e *recorder.Evict) error {
 	m := f.state.Members[e.GetInstance()]
 	if m == nil || m.Incarnation != e.GetIncarnation() {
 		return fmt.Errorf("%w: no member %s in this incarnation", ErrConflict, e.GetInstance())
 	}
-	if err := f.changeMembers(offset, e.MembersVersion); err != nil {
+	if err := f.advanceMembership(offset, e.MembersVersion); err != nil {
 		return err
 	}
 	delete(f.state.Members, e.Instance)
 	return nil
 }
 
-func (f *Fold) note(offset identifier.Offset, recordID string, err error) {
+func (f *Fold) addVerdict(offset identifier.Offset, recordID string, err error) {
 	v := &recorder.Verdict{RecordID: recordID, Offset: uint64(offset), Accepted: err == nil}
 	if err != nil {
 		v.Reason = strings.TrimPrefix(err.Error(), ErrConflict.Error()+": ")
 	}
 	f.state.Verdicts = append(f.state.Verdicts, v)
-	if over := len(f.state.Verdicts) - verdictLimit; over > 0 {
-		f.state.Verdicts = f.state.Verdicts[over:]
+	if excess := len(f.state.Verdicts) - maximumVerdicts; excess > 0 {
+		f.state.Verdicts = f.state.Verdicts[excess:]
 	}
 }
 
-// Membership returns the version of the membership and the offset of the record that made it.
+// Membership returns the version of the membership and the offset of the record that led to it.
 func (f *Fold) Membership() (version uint64, offset identifier.Offset) {
 	return f.state.MembersVersion, identifier.Offset(f.state.MembersOffset)
 }
--- a/internal/configurator/fold_test.go
+++ b/internal/configurator/fold_test.go
@@ -46,18 +46,18 @@
 		records  []*recorder.Record
 		accepted bool
 	}{
-		"publish on the version in force":   {[]*recorder.Record{publish("x", 0)}, true},
-		"publish on an older version":       {[]*recorder.Record{publish("1", 0), publish("x", 0)}, false},
-		"publish appended twice":            {[]*recorder.Record{publish("x", 0), publish("x", 0)}, true},
-		"grant of a new key":                {[]*recorder.Record{grant("x", "k", "h")}, true},
-		"grant of an id in use":             {[]*recorder.Record{grant("1", "k", "h"), grant("x", "k", "h2")}, false},
-		"withdrawal of a granted key":       {[]*recorder.Record{grant("1", "k", "h"), withdraw("x", "k")}, true},
-		"withdrawal of an unknown key":      {[]*recorder.Record{withdraw("x", "k")}, false},
-		"late grant of a withdrawn key":     {[]*recorder.Record{grant("1", "k", "h"), withdraw("2", "k"), grant("x", "k", "h")}, false},
-		"join on the membership in force":   {[]*recorder.Record{join("x", "a", "1", 0)}, true},
-		"join on an older membership":       {[]*recorder.Record{join("1", "a", "1", 0), join("x", "b", "1", 0)}, false},
-		"late copy of an accepted join":     {[]*recorder.Record{join("x", "a", "1", 0), join("2", "a", "2", 1), join("x", "a", "1", 0)}, true},
-		"records of other streams are void": {[]*recorder.Record{{ID: "1"}, publish("x", 0)}, true},
+		"publish on the version in force":    {[]*recorder.Record{publish("x", 0)}, true},
+		"publish on an older version":        {[]*recorder.Record{publish("1", 0), publish("x", 0)}, false},
+		"publish appended twice":             {[]*recorder.Record{publish("x", 0), publish("x", 0)}, true},
+		"grant of a new key":                 {[]*recorder.Record{grant("x", "k", "h")}, true},
+		"grant of an id in use":              {[]*recorder.Record{grant("1", "k", "h"), grant("x", "k", "h2")}, false},
+		"withdrawal of a granted key":        {[]*recorder.Record{grant("1", "k", "h"), withdraw("x", "k")}, true},
+		"withdrawal of an unknown key":       {[]*recorder.Record{withdraw("x", "k")}, false},
+		"late grant of a withdrawn key":      {[]*recorder.Record{grant("1", "k", "h"), withdraw("2", "k"), grant("x", "k", "h")}, false},
+		"join on the membership in force":    {[]*recorder.Record{join("x", "a", "1", 0)}, true},
+		"join on an older membership":        {[]*recorder.Record{join("1", "a", "1", 0), join("x", "b", "1", 0)}, false},
+		"late duplicate of an accepted join": {[]*recorder.Record{join("x", "a", "1", 0), join("2", "a", "2", 1), join("x", "a", "1", 0)}, true},
+		"records of other streams":           {[]*recorder.Record{{ID: "1"}, publish("x", 0)}, true},
 	} {
 		v := apply(tc.records...).Verdict("x")
 		quicktest.Assert(t, v, quicktest.IsNotNil, quicktest.Commentf(name))
@@ -67,13 +67,15 @@
 	quicktest.Check(t, members["a"].Incarnation, quicktest.Equals, "2")
 }
 
-// swap is one publish as its operator saw it.
-type swap struct{ base uint64 }
+// publishInput is the input of a publish operation: the version that the publish is based on. The output of the
+// operation is whether the operator believes that the publish was accepted.
+type publishInput struct{ base uint64 }
 
-var versions = porcupine.Model{
+// versionModel models the configuration version as a counter that a publish increments by compare-and-swap.
+var versionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		version, base := state.(uint64), input.(swap).base
+		version, base := state.(uint64), input.(publishInput).base
 		if output.(bool) {
 			return version == base, version + 1
 		}
@@ -81,8 +83,9 @@
 	},
 }
 
-// history lets operators race: their appends land late, doubled and in any order.
-func history(seed uint64, decide func(f *configurator.Fold, id string) bool) []porcupine.Operation {
+// racePublishes returns the history of three concurrent operators over several rounds. In each round, the publishes
+// reach the log in random order, some of them twice, and some are based on an older version.
+func racePublishes(seed uint64, believedAccepted func(f *configurator.Fold, id string) bool) []porcupine.Operation {
 	r := rand.New(rand.NewPCG(seed, 1))
 	f := &configurator.Fold{}
 	var operations []porcupine.Operation
@@ -112,7 +115,7 @@
 		for client, p := range race {
 			clock++
 			operations = append(operations, porcupine.Operation{
-				ClientId: client, Input: swap{p.base}, Call: p.call, Output: decide(f, p.id), Return: clock,
+				ClientId: client, Input: publishInput{p.base}, Call: p.call, Output: believedAccepted(f, p.id), Return: clock,
 			})
 		}
 	}
@@ -122,11 +125,11 @@
 func TestPublishesAreLinearizable(t *testing.T) {
 	fromFold := func(f *configurator.Fold, id string) bool { return f.Verdict(id).Accepted }
 	for seed := range uint64(50) {
-		ok := porcupine.CheckOperationsTimeout(versions, history(seed, fromFold), 10*time.Second)
+		ok := porcupine.CheckOperationsTimeout(versionModel, racePublishes(seed, fromFold), 10*time.Second)
 		quicktest.Check(t, ok, quicktest.Equals, porcupine.Ok, quicktest.Commentf("seed %d", seed))
 	}
-	always := func(*configurator.Fold, string) bool { return true }
-	ok := porcupine.CheckOperationsTimeout(versions, history(1, always), 10*time.Second)
+	assumeSuccess := func(*configurator.Fold, string) bool { return true }
+	ok := porcupine.CheckOperationsTimeout(versionModel, racePublishes(1, assumeSuccess), 10*time.Second)
 	quicktest.Check(t, ok, quicktest.Equals, porcupine.Illegal, quicktest.Commentf("without the base check"))
 }
 
--- a/internal/configurator/view.go
+++ b/internal/configurator/view.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// View is a configuration prepared for look-ups on the request path; it is not changed once made.
+// View is an immutable configuration, indexed for look-ups on the request path.
 type View struct {
 	State    *recorder.ConfigState
 	keys     map[identifier.KeyHash]identifier.TeamID
@@ -17,7 +17,7 @@
 	models   map[identifier.ModelID]bool
 }
 
-// NewView prepares a state, which must not change afterwards.
+// NewView indexes a state, which must not change afterwards.
 func NewView(state *recorder.ConfigState) *View {
 	v := &View{
 		State:    state,
@@ -60,13 +60,13 @@
 	}
 }
 
-// Team returns the team whose key was presented.
+// Team returns the team that owns the key with the given hash.
 func (v *View) Team(hash identifier.KeyHash) (identifier.TeamID, bool) {
 	team, ok := v.keys[hash]
 	return team, ok
 }
 
-// Weight returns a team's weight from its priority and cost share.
+// Weight returns the product of a team's priority and cost share, which is always positive, or 1 without a rule.
 func (v *View) Weight(team identifier.TeamID) float64 {
 	r := v.rules[team]
 	if r == nil {
@@ -75,37 +75,39 @@
 	return float64(max(1, r.Priority)) * max(r.CostShare, 0.001)
 }
 
-// Priority returns a team's priority.
+// Priority returns a team's priority, which is at least 1.
 func (v *View) Priority(team identifier.TeamID) int64 { return max(1, v.rules[team].GetPriority()) }
 
-// MayUse reports whether the tenancy rules let a team use a target.
+// MayUse reports whether a team may use a target. A team whose rule lists targets may use only those; other teams
+// may use only targets that no rule lists.
 func (v *View) MayUse(team identifier.TeamID, target identifier.TargetID) bool {
-	if own := v.allowed[team]; own != nil {
-		return own[target]
+	if listed := v.allowed[team]; listed != nil {
+		return listed[target]
 	}
 	return !v.reserved[target]
 }
 
-// HasModel reports whether the inventory has an engine for a model.
+// HasModel reports whether the inventory has an engine that serves a model.
 func (v *View) HasModel(model identifier.ModelID) bool { return v.models[model] }
 
-// Promise returns the promised latencies.
+// Promise returns the latencies promised to callers.
 func (v *View) Promise() *recorder.Promise { return v.State.GetRules().GetPromise() }
 
-// Route returns the rule for a path, the longest matching one.
+// Route returns the route with the longest path that matches, or nil if none does.
 func (v *View) Route(path string) *recorder.Route {
-	var best *recorder.Route
+	var longest *recorder.Route
 	for _, r := range v.State.GetRules().GetRoutes() {
 		if !matches(path, r.Path) {
 			continue
 		}
-		if best == nil || len(r.Path) > len(best.Path) {
-			best = r
+		if longest == nil || len(r.Path) > len(longest.Path) {
+			longest = r
 		}
 	}
-	return best
+	return longest
 }
 
+// matches reports whether path equals prefix or continues it at a segment boundary.
 func matches(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
