--- a/internal/observer/doc.go
+++ b/internal/observer/doc.go
@@ -1,2 +1,2 @@
-// Package observer exchanges heartbeats with the other members and keeps what each last said.
+// Package observer exchanges heartbeats with the other members and keeps the last one of each.
 package observer
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Caller sends a request to a peer.
+// Caller sends requests to peers.
 type Caller interface {
 	Call(ctx context.Context, addr string, req *messenger.Request) (*messenger.Reply, error)
 }
@@ -25,34 +25,37 @@
 	Config   *tailer.Tailer
 	Caller   Caller
 	Interval time.Duration
-	// Members returns the members in force.
+	// Members returns the members by instance, as in the configuration in force.
 	Members func() map[string]*recorder.Member
 	// LocalHeartbeat returns this instance's heartbeat.
 	LocalHeartbeat func() *messenger.Heartbeat
 
-	mu    sync.Mutex
-	heard map[string]heard
-	gone  map[string]bool
-	since map[string]time.Time
+	mu       sync.Mutex
+	received map[string]received
+	gone     map[string]bool
+	// firstSeen holds when each incarnation was first seen as a member.
+	firstSeen map[string]time.Time
 }
 
-type heard struct {
-	beat   *messenger.Heartbeat
+type received struct {
+	heartbeat *messenger.Heartbeat
+	// sentAt is when the request for the heartbeat was sent.
 	sentAt time.Time
 }
 
-// Run sends heartbeats to every other member until ctx ends.
+// Run exchanges heartbeats with all other members until ctx ends. A member whose previous exchange is
+// still running is skipped.
 func (o *Observer) Run(ctx context.Context) {
 	ticker := time.NewTicker(o.Interval)
 	defer ticker.Stop()
-	busy := map[string]chan struct{}{}
+	exchanges := map[string]chan struct{}{}
 	for {
 		for id, m := range o.Members() {
-			if id == o.Self.Instance || running(busy[id]) {
+			if id == o.Self.Instance || inProgress(exchanges[id]) {
 				continue
 			}
 			done := make(chan struct{})
-			busy[id] = done
+			exchanges[id] = done
 			go func() {
 				defer close(done)
 				o.exchange(ctx, m)
@@ -66,7 +69,7 @@
 	}
 }
 
-func running(done chan struct{}) bool {
+func inProgress(done chan struct{}) bool {
 	if done == nil {
 		return false
 	}
@@ -88,28 +91,30 @@
 		return
 	}
 	o.RecordHeartbeat(reply.Heartbeat, sentAt)
-	o.freshen(ctx, m, reply.Heartbeat, sentAt)
+	o.syncConfig(ctx, m, reply.Heartbeat, sentAt)
 }
 
-// RecordHeartbeat records a heartbeat that was surely current at the instant sentAt.
-func (o *Observer) RecordHeartbeat(beat *messenger.Heartbeat, sentAt time.Time) {
+// RecordHeartbeat stores a member's heartbeat unless one that was requested later is stored. A heartbeat is at least
+// as recent as sentAt, the time at which it was requested.
+func (o *Observer) RecordHeartbeat(heartbeat *messenger.Heartbeat, sentAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.heard == nil {
-		o.heard = map[string]heard{}
+	if o.received == nil {
+		o.received = map[string]received{}
 	}
-	if old, ok := o.heard[beat.Instance]; ok && old.sentAt.After(sentAt) {
+	if old, ok := o.received[heartbeat.Instance]; ok && old.sentAt.After(sentAt) {
 		return
 	}
-	o.heard[beat.Instance] = heard{beat: beat, sentAt: sentAt}
+	o.received[heartbeat.Instance] = received{heartbeat: heartbeat, sentAt: sentAt}
 }
 
-// freshen takes over a peer's configuration or its knowledge that the shared one is whole.
-func (o *Observer) freshen(ctx context.Context, m *recorder.Member, beat *messenger.Heartbeat, sentAt time.Time) {
-	next := identifier.Offset(beat.ConfigNext)
-	fresh := sentAt.Add(-time.Duration(beat.FreshAgeMilliseconds) * time.Millisecond)
+// syncConfig uses a peer's heartbeat to keep the configuration fresh. If the peer is at the same offset, it confirms
+// the configuration; if the peer is ahead and the log is unreachable, it adopts the peer's configuration.
+func (o *Observer) syncConfig(ctx context.Context, m *recorder.Member, heartbeat *messenger.Heartbeat, sentAt time.Time) {
+	next := identifier.Offset(heartbeat.ConfigNext)
+	freshAt := sentAt.Add(-time.Duration(heartbeat.FreshAgeMilliseconds) * time.Millisecond)
 	if next == o.Config.Next() {
-		o.Config.Confirm(next, fresh)
+		o.Config.Confirm(next, freshAt)
 		return
 	}
 	if next < o.Config.Next() || o.Config.Reachable() {
@@ -132,10 +137,10 @@
 	o.gone = gone
 }
 
-// View returns the members with what each last said.
+// View returns the members with the state from their last heartbeats.
 //
-// A reply of another incarnation, asked for after the member was known here, shows that the member's
-// process is gone, because the other one has taken over its address.
+// A heartbeat of another incarnation that was requested after the member was first seen shows that the member's
+// process is gone, because another process has taken over its address.
 func (o *Observer) View() []freshener.Member {
 	members := o.Members()
 	self := o.LocalHeartbeat()
@@ -148,12 +153,12 @@
 			v.Self, v.Voting, v.Next, v.SentAt = true, self.Voting, identifier.Offset(self.ConfigNext), time.Now()
 		}
 		known := o.knownSince(m.Incarnation)
-		h, ok := o.heard[id]
+		h, ok := o.received[id]
 		switch {
-		case ok && h.beat.Incarnation == m.Incarnation:
+		case ok && h.heartbeat.Incarnation == m.Incarnation:
 			v.SentAt = h.sentAt
-			v.Next = identifier.Offset(h.beat.ConfigNext)
-			v.Voting = h.beat.Voting
+			v.Next = identifier.Offset(h.heartbeat.ConfigNext)
+			v.Voting = h.heartbeat.Voting
 		case ok && h.sentAt.After(known):
 			v.Gone = true
 		}
@@ -164,34 +169,34 @@
 
 // knownSince returns when an incarnation was first seen as a member.
 func (o *Observer) knownSince(incarnation string) time.Time {
-	if o.since == nil {
-		o.since = map[string]time.Time{}
+	if o.firstSeen == nil {
+		o.firstSeen = map[string]time.Time{}
 	}
-	if o.since[incarnation].IsZero() {
-		o.since[incarnation] = time.Now()
+	if o.firstSeen[incarnation].IsZero() {
+		o.firstSeen[incarnation] = time.Now()
 	}
-	return o.since[incarnation]
+	return o.firstSeen[incarnation]
 }
 
-// RecentHeartbeats returns copies of the heartbeats heard within the given age.
+// RecentHeartbeats returns copies of the last heartbeats, without those older than age.
 func (o *Observer) RecentHeartbeats(age time.Duration) []*messenger.Heartbeat {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var list []*messenger.Heartbeat
-	for _, h := range o.heard {
+	for _, h := range o.received {
 		if time.Since(h.sentAt) <= age {
-			list = append(list, proto.Clone(h.beat).(*messenger.Heartbeat))
+			list = append(list, proto.Clone(h.heartbeat).(*messenger.Heartbeat))
 		}
 	}
 	return list
 }
 
-// Hears returns the instances whose heartbeats were heard within the given age.
+// Hears returns the instances whose last heartbeat is not older than age.
 func (o *Observer) Hears(age time.Duration) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var list []string
-	for id, h := range o.heard {
+	for id, h := range o.received {
 		if time.Since(h.sentAt) <= age {
 			list = append(list, id)
 		}
@@ -199,12 +204,12 @@
 	return list
 }
 
-// SilentFor returns how long nothing was heard of an incarnation, or false where it never was.
+// SilentFor returns the time since the last heartbeat of an incarnation was requested, or false if none was received.
 func (o *Observer) SilentFor(instance, incarnation string) (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	h, ok := o.heard[instance]
-	if !ok || h.beat.Incarnation != incarnation {
+	h, ok := o.received[instance]
+	if !ok || h.heartbeat.Incarnation != incarnation {
 		return 0, false
 	}
 	return time.Since(h.sentAt), true
