--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -16,25 +16,30 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrNotInForce is returned when a change was appended but is not yet known to be in force everywhere.
+// ErrNotInForce is returned when a change was accepted but was not known to be in force everywhere in time.
 var ErrNotInForce = errors.New("not yet known to be in force everywhere")
 
 const pollInterval = 20 * time.Millisecond
 
-// Administrator appends changes of the configuration; all exported fields must be set.
+// Administrator appends changes to the Config stream; all exported fields must be set.
 type Administrator struct {
-	Config      *tailer.Tailer
-	Fold        *configurator.Fold
-	Members     func() []freshener.Member
+	Config *tailer.Tailer
+	Fold   *configurator.Fold
+	// Members returns the members with the state from their last heartbeats.
+	Members func() []freshener.Member
+	// LastRemoval returns when a member was last removed.
 	LastRemoval func() time.Time
-	Freshness   time.Duration
-	Margin      time.Duration
-	Logger      *zap.Logger
+	// Freshness is how long an instance may serve after its configuration was last known to be complete.
+	Freshness time.Duration
+	// Margin is added to Freshness to allow for clock drift.
+	Margin time.Duration
+	Logger *zap.Logger
 }
 
-// Change appends a record and returns its offset once it is in force everywhere; a lost race is configurator.ErrConflict.
+// Change appends a record and returns its offset once it is in force everywhere. If the record was not accepted, for
+// example after a concurrent change, the error wraps configurator.ErrConflict.
 func (a *Administrator) Change(ctx context.Context, r *recorder.Record) (identifier.Offset, error) {
-	verdict, err := a.decide(ctx, r)
+	verdict, err := a.submit(ctx, r)
 	if err != nil {
 		return 0, err
 	}
@@ -56,8 +61,8 @@
 	return offset, nil
 }
 
-// decide appends a record and returns what the fold made of it.
-func (a *Administrator) decide(ctx context.Context, r *recorder.Record) (*recorder.Verdict, error) {
+// submit appends a record and returns its verdict.
+func (a *Administrator) submit(ctx context.Context, r *recorder.Record) (*recorder.Verdict, error) {
 	if _, err := a.Config.Append(ctx, r); err != nil {
 		return nil, err
 	}
--- a/internal/administrator/doc.go
+++ b/internal/administrator/doc.go
@@ -1,2 +1,3 @@
-// Package administrator carries out the operators' commands through the Config stream and waits until they are in force.
+// Package administrator appends configuration and membership changes to the Config stream. It waits until
+// configuration changes are in force everywhere.
 package administrator
--- a/internal/administrator/membership.go
+++ b/internal/administrator/membership.go
@@ -14,14 +14,14 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrNoMajority is returned when a majority has not acknowledged the membership in force.
+// ErrNoMajority is returned when no majority of the members has acknowledged the membership in force.
 var ErrNoMajority = errors.New("no majority holds the membership in force")
 
-const joinTimeout = 5 * time.Second
+const membershipTimeout = 5 * time.Second
 
-// Join makes the member part of the membership; ErrConflict means that another change came first.
+// Join adds a member; ErrConflict means that another change came first.
 func (a *Administrator) Join(ctx context.Context, m *recorder.Member) error {
-	version, err := a.settled()
+	version, err := a.acknowledgedVersion()
 	if err != nil {
 		return err
 	}
@@ -30,9 +30,9 @@
 	return a.changeMembers(ctx, r)
 }
 
-// Evict removes a member's incarnation; ErrConflict means that another change came first.
+// Evict removes an incarnation from the membership; ErrConflict means that another change came first.
 func (a *Administrator) Evict(ctx context.Context, instance, incarnation string) error {
-	version, err := a.settled()
+	version, err := a.acknowledgedVersion()
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	return a.changeMembers(ctx, r)
 }
 
-// Leave announces that an incarnation takes no new callers.
+// Leave marks an incarnation as leaving, so that new callers are sent to other instances.
 func (a *Administrator) Leave(ctx context.Context, instance, incarnation string) error {
 	r := a.Config.NewRecord()
 	r.Body = &recorder.Record_Leave{Leave: &recorder.Leave{Instance: instance, Incarnation: incarnation}}
@@ -49,8 +49,9 @@
 	return err
 }
 
-// settled returns the version of the membership once a majority of it holds the record that made it.
-func (a *Administrator) settled() (uint64, error) {
+// acknowledgedVersion returns the version of the membership in force, or ErrNoMajority if no majority of the members
+// holds the record that led to it. An empty membership needs no majority.
+func (a *Administrator) acknowledgedVersion() (uint64, error) {
 	var version uint64
 	var offset identifier.Offset
 	var count int
@@ -68,9 +69,9 @@
 }
 
 func (a *Administrator) changeMembers(ctx context.Context, r *recorder.Record) error {
-	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
+	ctx, cancel := context.WithTimeout(ctx, membershipTimeout)
 	defer cancel()
-	verdict, err := a.decide(ctx, r)
+	verdict, err := a.submit(ctx, r)
 	if err != nil {
 		return err
 	}
