--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -36,7 +36,7 @@
 	Logger *zap.Logger
 }
 
-// Change appends a record and returns its offset once it is in force everywhere. If the record was not accepted, for
+// Change appends a record and returns its offset once it is in force everywhere. If the record was rejected, for
 // example after a concurrent change, the error wraps configurator.ErrConflict.
 func (a *Administrator) Change(ctx context.Context, r *recorder.Record) (identifier.Offset, error) {
 	verdict, err := a.submit(ctx, r)
--- a/internal/server/commands.go
+++ b/internal/server/commands.go
@@ -25,7 +25,7 @@
 	commandReturn       = 2 * time.Second
 )
 
-// PublishRequest carries an inventory and rules in INI form; BaseVersion is the version that they replace.
+// PublishRequest publishes an inventory and rules in INI form; BaseVersion is the version that they replace.
 type PublishRequest struct {
 	BaseVersion identifier.Version
 	Inventory   string
@@ -39,20 +39,20 @@
 	Team identifier.TeamID
 }
 
-// ChangeResponse tells that a change is in force everywhere.
+// ChangeResponse reports a change that is in force everywhere.
 type ChangeResponse struct {
 	Offset              identifier.Offset
 	Version             identifier.Version
 	InForceMilliseconds int64
 }
 
-// operator lets only requests with the operators' key pass.
-func (s *Server) operator(h http.HandlerFunc) http.HandlerFunc {
+// requireOperatorKey rejects requests without the operator key.
+func (s *Server) requireOperatorKey(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		hash := identifier.HashKey(key)
 		if subtle.ConstantTimeCompare([]byte(hash), []byte(s.OperatorKeyHash)) != 1 {
-			refusal := &answerer.Refusal{Status: http.StatusUnauthorized, Code: answerer.CodeUnauthorized, Run: answerer.NotRun, Message: "not the operators' key"}
+			refusal := &answerer.Refusal{Status: http.StatusUnauthorized, Code: answerer.CodeUnauthorized, Run: answerer.NotRun, Message: "missing or wrong operator key"}
 			refusal.Write(w)
 			return
 		}
@@ -62,17 +62,17 @@
 
 func (s *Server) publish(w http.ResponseWriter, r *http.Request) {
 	var in PublishRequest
-	if !decode(w, r, &in) {
+	if !decodeBody(w, r, &in) {
 		return
 	}
 	inventory, err := parser.ParseInventory("inventory", []byte(in.Inventory))
 	if err != nil {
-		invalid(w, err)
+		writeInvalid(w, err)
 		return
 	}
 	rules, err := parser.ParseRules("rules", []byte(in.Rules), inventory)
 	if err != nil {
-		invalid(w, err)
+		writeInvalid(w, err)
 		return
 	}
 	record := s.Administrator.Config.NewRecord()
@@ -82,11 +82,11 @@
 
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
 	var in GrantRequest
-	if !decode(w, r, &in) {
+	if !decodeBody(w, r, &in) {
 		return
 	}
 	if !s.hasTeam(in.Team) {
-		invalid(w, fmt.Errorf("%w: team %q is not in the inventory", parser.ErrInvalid, in.Team))
+		writeInvalid(w, fmt.Errorf("%w: team %q is not in the inventory", parser.ErrInvalid, in.Team))
 		return
 	}
 	record := s.Administrator.Config.NewRecord()
@@ -109,7 +109,8 @@
 	s.change(w, r, record)
 }
 
-// change answers once a record is in force everywhere, or with what is known of it.
+// change appends a record and responds once it is in force everywhere. The Run field of an error says whether the
+// change may have taken effect.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, record *recorder.Record) {
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout)
 	defer cancel()
@@ -130,7 +131,8 @@
 	refusal.Write(w)
 }
 
-func decode(w http.ResponseWriter, r *http.Request, in any) bool {
+// decodeBody decodes the request body into in. If that fails, it writes an error response and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, in any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maximumCommandBytes))
 	if err == nil {
 		err = json.Unmarshal(data, in)
@@ -143,7 +145,7 @@
 	return true
 }
 
-func invalid(w http.ResponseWriter, err error) {
+func writeInvalid(w http.ResponseWriter, err error) {
 	refusal := &answerer.Refusal{Status: http.StatusUnprocessableEntity, Code: answerer.CodeInvalid, Run: answerer.NotRun, Message: err.Error()}
 	refusal.Write(w)
 }
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,2 +1,2 @@
-// Package server is the HTTP interface of an entry instance towards callers and operators.
+// Package server serves the HTTP interface of an entry instance to callers and operators.
 package server
--- a/internal/server/queries.go
+++ b/internal/server/queries.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// InventoryResponse is the configuration in force, without key hashes.
+// InventoryResponse is the configuration in force. It has the team of each key ID, but no key hashes.
 type InventoryResponse struct {
 	Version   identifier.Version
 	Inventory *recorder.Inventory
@@ -18,16 +18,16 @@
 
 func (s *Server) inventory(w http.ResponseWriter, _ *http.Request) {
 	state := s.View().State
-	answer := InventoryResponse{
+	response := InventoryResponse{
 		Version:   identifier.Version(state.GetVersion()),
 		Inventory: state.GetInventory(),
 		Rules:     state.GetRules(),
 		Keys:      map[identifier.KeyID]identifier.TeamID{},
 	}
 	for _, k := range state.GetKeys() {
-		answer.Keys[identifier.KeyID(k.ID)] = identifier.TeamID(k.Team)
+		response.Keys[identifier.KeyID(k.ID)] = identifier.TeamID(k.Team)
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Status()) }
@@ -37,7 +37,7 @@
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	lines := s.Explain(identifier.RequestID(r.PathValue("id")))
 	if len(lines) == 0 {
-		refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRequest, Run: answerer.NotRun, Message: "this instance keeps no decision for that request"}
+		refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRequest, Run: answerer.NotRun, Message: "this instance has no decisions for this request"}
 		refusal.Write(w)
 		return
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -11,18 +11,22 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Server answers callers and operators; all fields must be set.
+// Server serves callers and operators; all fields must be set.
 type Server struct {
 	Relayer         *relayer.Relayer
 	Administrator   *administrator.Administrator
 	Metrics         http.Handler
 	OperatorKeyHash identifier.KeyHash
-	View            func() *configurator.View
-	Serving         func() bool
-	Addresses       func(zone identifier.ZoneID) caller.Addresses
-	Usage           func() any
-	Explain         func(id identifier.RequestID) []string
-	Status          func() any
+	// View returns the configuration in force.
+	View func() *configurator.View
+	// Serving reports whether this instance is a member with a configuration recent enough to serve callers.
+	Serving func() bool
+	// Addresses returns the entry instances that accept callers, those in the caller's zone first.
+	Addresses func(zone identifier.ZoneID) caller.Addresses
+	Usage     func() any
+	// Explain returns the decision log lines kept for a request.
+	Explain func(id identifier.RequestID) []string
+	Status  func() any
 }
 
 // Handler returns the HTTP interface.
@@ -32,20 +36,20 @@
 	mux.HandleFunc("GET /addresses", s.addresses)
 	mux.HandleFunc("GET /healthz", s.health)
 	mux.Handle("GET /metrics", s.Metrics)
-	mux.HandleFunc("POST /operator/publish", s.operator(s.publish))
-	mux.HandleFunc("POST /operator/keys", s.operator(s.grant))
-	mux.HandleFunc("DELETE /operator/keys/{id}", s.operator(s.withdraw))
-	mux.HandleFunc("GET /operator/inventory", s.operator(s.inventory))
-	mux.HandleFunc("GET /operator/status", s.operator(s.status))
-	mux.HandleFunc("GET /operator/usage", s.operator(s.usage))
-	mux.HandleFunc("GET /operator/explain/{id}", s.operator(s.explain))
-	mux.HandleFunc("/operator/", s.unknown)
+	mux.HandleFunc("POST /operator/publish", s.requireOperatorKey(s.publish))
+	mux.HandleFunc("POST /operator/keys", s.requireOperatorKey(s.grant))
+	mux.HandleFunc("DELETE /operator/keys/{id}", s.requireOperatorKey(s.withdraw))
+	mux.HandleFunc("GET /operator/inventory", s.requireOperatorKey(s.inventory))
+	mux.HandleFunc("GET /operator/status", s.requireOperatorKey(s.status))
+	mux.HandleFunc("GET /operator/usage", s.requireOperatorKey(s.usage))
+	mux.HandleFunc("GET /operator/explain/{id}", s.requireOperatorKey(s.explain))
+	mux.HandleFunc("/operator/", s.unknownPath)
 	mux.HandleFunc("/", s.Relayer.Service)
 	return mux
 }
 
-func (s *Server) unknown(w http.ResponseWriter, r *http.Request) {
-	refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRoute, Run: answerer.NotRun, Message: "no operator call " + r.URL.Path}
+func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
+	refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRoute, Run: answerer.NotRun, Message: "unknown operator path " + r.URL.Path}
 	refusal.Write(w)
 }
 
