--- a/internal/answerer/doc.go
+++ b/internal/answerer/doc.go
@@ -1,2 +1,3 @@
-// Package answerer writes errors to callers in the usual JSON form, with whether the request ran and when to come back.
+// Package answerer writes error responses in the JSON form of the chat completions API. They also say whether the
+// request ran and when to retry it.
 package answerer
--- a/internal/answerer/refusal.go
+++ b/internal/answerer/refusal.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Run tells whether a request that got an error was run.
+// Run says whether a request that failed was executed.
 type Run string
 
-// NotRun is said only when no part of the request reached a target; Unknown in all other cases.
+// NotRun is used only if no part of the request reached a target. In all other cases the value is Unknown.
 const (
 	NotRun  Run = "NotRun"
 	Unknown Run = "Unknown"
 )
 
-// RunHeader carries the Run of an error.
+// RunHeader is the response header that carries the Run value of an error.
 const RunHeader = "X-Request-Run"
 
-// Code is a stable name of an error.
+// Code is the stable name of an error, for programs.
 type Code string
 
-// Codes of the errors that callers and operators can get.
+// Codes of the errors that callers and operators receive.
 const (
 	CodeMalformed            Code = "Malformed"
 	CodeTooLarge             Code = "TooLarge"
@@ -47,7 +47,7 @@
 	CodeUnknownRequest       Code = "UnknownRequest"
 )
 
-// Refusal is a final answer to a request that was not served.
+// Refusal is the final error response to a request.
 type Refusal struct {
 	Status  int
 	Code    Code
@@ -56,12 +56,12 @@
 	Return  time.Duration
 }
 
-// Body is the JSON form of a refusal.
+// Body is the JSON body of a refusal.
 type Body struct {
 	Error Error `json:"error"`
 }
 
-// Error describes a refusal to programs and people.
+// Error is the error object of a response body.
 type Error struct {
 	Message            string `json:"message"`
 	Type               string `json:"type"`
@@ -70,10 +70,10 @@
 	ReturnMilliseconds int64 `json:",omitempty"`
 }
 
-// Error returns the refusal on one line.
+// Error returns the code, message and Run value on one line.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s (%s)", r.Code, r.Message, r.Run) }
 
-// Write sends the refusal as the whole answer.
+// Write sends the refusal as the whole response.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -86,20 +86,20 @@
 	json.NewEncoder(w).Encode(r.body())
 }
 
-// Event returns the refusal as the data of a server-sent event, for answers that have begun.
+// Event returns the refusal as the data of a server-sent event, for responses whose headers were already sent.
 func (r *Refusal) Event() []byte {
 	data, _ := json.Marshal(r.body())
 	return data
 }
 
 func (r *Refusal) body() Body {
-	kind := "server_error"
+	errorType := "server_error"
 	if r.Status < http.StatusInternalServerError {
-		kind = "invalid_request_error"
+		errorType = "invalid_request_error"
 	}
 	return Body{Error: Error{
 		Message:            r.Message,
-		Type:               kind,
+		Type:               errorType,
 		Code:               r.Code,
 		Run:                r.Run,
 		ReturnMilliseconds: r.Return.Milliseconds(),
