--- a/internal/chatter/chatter_test.go
+++ b/internal/chatter/chatter_test.go
@@ -17,12 +17,12 @@
 		numbers []int64
 		err     error
 	}{
-		"two events":          {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
-		"carriage returns":    {"id: 1\r\ndata: a\r\n\r\n", []int64{1}, io.EOF},
-		"extra blank lines":   {"\n\nid: 1\ndata: a\n\n\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
-		"cut in a line":       {"id: 1\ndata: a\n\nid: 2\nda", []int64{1}, io.ErrUnexpectedEOF},
-		"cut before its end":  {"id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
-		"longer than allowed": {"data: " + strings.Repeat("x", 2<<20) + "\n\n", nil, chatter.ErrTooLong},
+		"two events":                 {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
+		"carriage returns":           {"id: 1\r\ndata: a\r\n\r\n", []int64{1}, io.EOF},
+		"extra blank lines":          {"\n\nid: 1\ndata: a\n\n\n\nid: 2\ndata: b\n\n", []int64{1, 2}, io.EOF},
+		"ends within a line":         {"id: 1\ndata: a\n\nid: 2\nda", []int64{1}, io.ErrUnexpectedEOF},
+		"ends before the blank line": {"id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
+		"longer than the limit":      {"data: " + strings.Repeat("x", 2<<20) + "\n\n", nil, chatter.ErrTooLong},
 	} {
 		r := chatter.NewEventReader(strings.NewReader(tc.in))
 		var numbers []int64
@@ -38,15 +38,15 @@
 	}
 }
 
-func TestPiecesAreChained(t *testing.T) {
+func TestPartHashesAreChained(t *testing.T) {
 	prompt := func(text string) chatter.Request {
 		return chatter.Request{Model: "m", Messages: []chatter.Message{{Role: "user", Content: text}}}
 	}
 	shared := strings.Repeat("a", 8000)
-	one := prompt(shared + strings.Repeat("b", 9000)).PartHashes()
-	other := prompt(shared + strings.Repeat("c", 9000)).PartHashes()
-	quicktest.Check(t, one, quicktest.HasLen, 2)
-	quicktest.Check(t, one[0] == other[0] && one[1] != other[1], quicktest.IsTrue)
+	first := prompt(shared + strings.Repeat("b", 9000)).PartHashes()
+	second := prompt(shared + strings.Repeat("c", 9000)).PartHashes()
+	quicktest.Check(t, first, quicktest.HasLen, 2)
+	quicktest.Check(t, first[0] == second[0] && first[1] != second[1], quicktest.IsTrue)
 }
 
 func FuzzEventReader(f *testing.F) {
--- a/internal/chatter/completion.go
+++ b/internal/chatter/completion.go
@@ -10,23 +10,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PartTokens is the size of a prefix-cache piece in tokens.
+// PartTokens is the length of a prompt part, the unit of the prefix cache, in tokens.
 const PartTokens = 2000
 
 const (
-	bytesPerToken      = 4
-	defaultOutputLimit = 16
-	maximumOutputLimit = 1 << 20
+	bytesPerToken       = 4
+	defaultOutputTokens = 16
+	maximumOutputTokens = 1 << 20
 )
 
-// Headers of a request between an entry and an engine.
+// Headers of a request from an entry instance to an engine.
 const (
 	RequestIDHeader = "X-Request-Id"
 	ResumeHeader    = "Last-Event-Id"
 	HandleHeader    = "X-Kv-Handle"
 )
 
-// ErrMalformed is returned for a chat completion that cannot be served as written.
+// ErrMalformed is returned for a chat completion request that is not valid.
 var ErrMalformed = errors.New("malformed chat completion")
 
 // Message is one message of a conversation.
@@ -35,7 +35,7 @@
 	Content string `json:"content"`
 }
 
-// Request is a chat-completions request in the usual form.
+// Request holds the fields of a chat completions request that this platform uses.
 type Request struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -51,7 +51,7 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-// Choice is one answer of a completion or a part of it.
+// Choice is one of the answers in a completion: a whole message, or the delta of a chunk.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -59,7 +59,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Completion is a whole answer or one chunk of a stream.
+// Completion is a whole response or one chunk of a streamed response.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -68,7 +68,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// ParseRequest decodes and checks a request; errors wrap ErrMalformed.
+// ParseRequest decodes and validates a request; errors wrap ErrMalformed.
 func ParseRequest(body []byte) (Request, error) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -80,13 +80,13 @@
 	if len(r.Messages) == 0 {
 		return r, fmt.Errorf("%w: messages is empty", ErrMalformed)
 	}
-	if r.MaxTokens < 0 || r.MaxTokens > maximumOutputLimit {
-		return r, fmt.Errorf("%w: max_tokens is outside 0 to %d", ErrMalformed, maximumOutputLimit)
+	if r.MaxTokens < 0 || r.MaxTokens > maximumOutputTokens {
+		return r, fmt.Errorf("%w: max_tokens is outside 0 to %d", ErrMalformed, maximumOutputTokens)
 	}
 	return r, nil
 }
 
-// Prompt returns the text of all messages.
+// Prompt returns the roles and texts of all messages.
 func (r Request) Prompt() string {
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -98,7 +98,7 @@
 	return b.String()
 }
 
-// PromptTokens estimates the length of the prompt in tokens.
+// PromptTokens estimates the length of the prompt in tokens from its length in bytes.
 func (r Request) PromptTokens() int64 {
 	n := 0
 	for _, m := range r.Messages {
@@ -107,15 +107,16 @@
 	return int64(max(1, n/bytesPerToken))
 }
 
-// OutputLimit returns the greatest number of tokens to generate.
+// OutputLimit returns the maximum number of tokens to generate.
 func (r Request) OutputLimit() int64 {
 	if r.MaxTokens == 0 {
-		return defaultOutputLimit
+		return defaultOutputTokens
 	}
 	return r.MaxTokens
 }
 
-// PartHashes returns the chained hashes of the prompt's whole prefix-cache pieces.
+// PartHashes returns a hash for each whole part of the prompt. A hash covers the model and the prompt up to the end of
+// its part, so prompts with a common prefix share the hashes of its parts.
 func (r Request) PartHashes() []uint64 {
 	const size = PartTokens * bytesPerToken
 	prompt := r.Prompt()
@@ -129,29 +130,29 @@
 	return hashes
 }
 
-// NewChunk returns one token of a streamed answer.
+// NewChunk returns a chunk of a streamed response with the given text.
 func NewChunk(id, model, text string) Completion {
 	return Completion{ID: id, Object: "chat.completion.chunk", Model: model, Choices: []Choice{{Delta: &Message{Role: "assistant", Content: text}}}}
 }
 
-// NewFinalChunk returns the chunk that ends a streamed answer.
-func NewFinalChunk(id, model string, prompt, output int64) Completion {
+// NewFinalChunk returns the last chunk of a streamed response, with the finish reason and the usage.
+func NewFinalChunk(id, model string, promptTokens, outputTokens int64) Completion {
 	c := NewChunk(id, model, "")
-	c.Choices[0].FinishReason = stop()
-	c.Usage = newUsage(prompt, output)
+	c.Choices[0].FinishReason = stopReason()
+	c.Usage = newUsage(promptTokens, outputTokens)
 	return c
 }
 
-// NewCompletion returns a whole answer.
-func NewCompletion(id, model, text string, prompt, output int64) Completion {
+// NewCompletion returns a whole response.
+func NewCompletion(id, model, text string, promptTokens, outputTokens int64) Completion {
 	return Completion{
 		ID: id, Object: "chat.completion", Model: model,
-		Choices: []Choice{{Message: &Message{Role: "assistant", Content: text}, FinishReason: stop()}},
-		Usage:   newUsage(prompt, output),
+		Choices: []Choice{{Message: &Message{Role: "assistant", Content: text}, FinishReason: stopReason()}},
+		Usage:   newUsage(promptTokens, outputTokens),
 	}
 }
 
-// WriteEvent writes one server-sent event numbered by the token it carries.
+// WriteEvent writes a server-sent event with c as its data and n, the number of its token, as its ID.
 func WriteEvent(w io.Writer, n int64, c Completion) error {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -167,11 +168,12 @@
 	return err
 }
 
-func newUsage(prompt, output int64) *Usage {
-	return &Usage{PromptTokens: prompt, CompletionTokens: output, TotalTokens: prompt + output}
+func newUsage(promptTokens, outputTokens int64) *Usage {
+	return &Usage{PromptTokens: promptTokens, CompletionTokens: outputTokens, TotalTokens: promptTokens + outputTokens}
 }
 
-func stop() *string {
+// stopReason returns the finish reason of a complete answer.
+func stopReason() *string {
 	reason := "stop"
 	return &reason
 }
--- a/internal/chatter/control.go
+++ b/internal/chatter/control.go
@@ -1,6 +1,6 @@
 package chatter
 
-// Load is what an engine reports of itself, with a lag.
+// Load is an engine's report of its load. AgeMilliseconds is the time since the figures were taken.
 type Load struct {
 	Running                   int64
 	Waiting                   int64
@@ -10,20 +10,21 @@
 	Leaving                   bool
 }
 
-// CacheEvent tells that a prefix-cache piece was stored or evicted.
+// CacheEvent reports that a prompt part was stored in the prefix cache or evicted from it. Piece is the part's hash.
 type CacheEvent struct {
 	Sequence uint64
 	Piece    uint64
 	Stored   bool
 }
 
-// CacheEvents is a run of cache events; a gap before the first means that events were lost.
+// CacheEvents is a page of consecutive cache events, and Next is the sequence number after them. If the first event is
+// later than the requested one, events were lost.
 type CacheEvents struct {
 	Next   uint64
 	Events []CacheEvent
 }
 
-// EngineOrder asks an engine for a role and model; an empty OrderID only raises the fencing number.
+// EngineOrder orders an engine to take a role and model. With an empty OrderID, it only raises the fencing number.
 type EngineOrder struct {
 	OrderID string
 	Fence   uint64
@@ -31,7 +32,7 @@
 	Model   string
 }
 
-// EngineState is what an engine says of its role and its last order.
+// EngineState is an engine's report of its role, its model and its last order.
 type EngineState struct {
 	Role      string
 	Model     string
@@ -40,5 +41,5 @@
 	Running   int64
 }
 
-// Transfer names a prompt's KV cache that can be imported by another engine.
+// Transfer is the response to a prefill request. Handle names the prompt's KV cache, which another engine can import.
 type Transfer struct{ Handle string }
--- a/internal/chatter/doc.go
+++ b/internal/chatter/doc.go
@@ -1,2 +1,3 @@
-// Package chatter holds the messages that callers and engines exchange: chat completions, load, cache events and orders.
+// Package chatter defines the messages exchanged with callers and engines: chat completions, load reports, cache events
+// and role orders.
 package chatter
--- a/internal/chatter/event.go
+++ b/internal/chatter/event.go
@@ -9,12 +9,12 @@
 	"strconv"
 )
 
-// ErrTooLong is returned for a server-sent event beyond the size limit.
+// ErrTooLong is returned for a server-sent event that exceeds the size limit.
 var ErrTooLong = errors.New("event too long")
 
 const maximumEventBytes = 1 << 20
 
-// Event is one server-sent event with its raw bytes.
+// Event is a server-sent event. Raw holds all its bytes, with the final blank line.
 type Event struct {
 	Number int64
 	Data   []byte
@@ -24,25 +24,26 @@
 // Done reports whether the event ends the stream.
 func (e Event) Done() bool { return bytes.Equal(e.Data, []byte("[DONE]")) }
 
-// EventReader splits a stream into server-sent events.
+// EventReader reads server-sent events from a stream.
 type EventReader struct {
 	r   *bufio.Reader
 	raw []byte
 }
 
-// NewEventReader returns a reader of the events in r.
+// NewEventReader returns an EventReader that reads from r.
 func NewEventReader(r io.Reader) *EventReader {
 	return &EventReader{r: bufio.NewReader(r)}
 }
 
-// Next returns the next whole event, valid until the next call; a truncated one is io.ErrUnexpectedEOF.
+// Next returns the next event, whose data is valid until the next call. It returns io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (e *EventReader) Next() (Event, error) {
 	e.raw = e.raw[:0]
 	for {
-		start := len(e.raw)
+		lineStart := len(e.raw)
 		for {
-			part, err := e.r.ReadSlice('\n')
-			e.raw = append(e.raw, part...)
+			chunk, err := e.r.ReadSlice('\n')
+			e.raw = append(e.raw, chunk...)
 			if len(e.raw) > maximumEventBytes {
 				return Event{}, ErrTooLong
 			}
@@ -57,11 +58,11 @@
 			}
 			break
 		}
-		line := bytes.TrimRight(e.raw[start:], "\r\n")
+		line := bytes.TrimRight(e.raw[lineStart:], "\r\n")
 		if len(line) > 0 {
 			continue
 		}
-		if start == 0 {
+		if lineStart == 0 {
 			e.raw = e.raw[:0]
 			continue
 		}
