--- a/internal/messenger/doc.go
+++ b/internal/messenger/doc.go
@@ -1,2 +1,2 @@
-// Package messenger holds the protobuf messages that entry instances exchange.
+// Package messenger defines the protobuf messages that entry instances exchange.
 package messenger
--- a/internal/recorder/doc.go
+++ b/internal/recorder/doc.go
@@ -1,2 +1,2 @@
-// Package recorder holds the log's records and folded states as protobuf messages.
+// Package recorder defines the records of the platform's log, and the states folded from them, as protobuf messages.
 package recorder
