--- a/internal/server/commands.go
+++ b/internal/server/commands.go
@@ -22,7 +22,7 @@
 const (
 	changeTimeout       = 8 * time.Second
 	maximumCommandBytes = 16 << 20
-	commandReturn       = 2 * time.Second
+	commandRetryAfter   = 2 * time.Second
 )
 
 // PublishRequest publishes an inventory and rules in INI form; BaseVersion is the version that they replace.
@@ -116,7 +116,7 @@
 	defer cancel()
 	started := time.Now()
 	offset, err := s.Administrator.Change(ctx, record)
-	refusal := &answerer.Refusal{Status: http.StatusServiceUnavailable, Code: answerer.CodeNotConfirmed, Run: answerer.Unknown, Return: commandReturn}
+	refusal := &answerer.Refusal{Status: http.StatusServiceUnavailable, Code: answerer.CodeNotConfirmed, Run: answerer.Unknown, Return: commandRetryAfter}
 	switch {
 	case err == nil:
 		version := identifier.Version(s.View().State.GetVersion())
