--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -174,13 +174,13 @@
 	e.peers = &exchanger.Client{Dial: e.network.Dial, Logger: e.logger}
 	e.observer = &observer.Observer{
 		Self: e.member, Config: e.config, Caller: e.peers, Interval: e.settings.Timing.Heartbeat,
-		Members: func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
-		Beat:    e.heartbeat,
+		Members:        func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
+		LocalHeartbeat: e.heartbeat,
 	}
 	e.admin = &administrator.Administrator{
 		Config: e.config, Fold: &e.configFold, Members: e.observer.View, Logger: e.logger,
-		Removed:   func() time.Time { return time.Unix(0, e.removedAt.Load()) },
-		Freshness: e.settings.Timing.Freshness, Margin: e.settings.Timing.DriftMargin,
+		LastRemoval: func() time.Time { return time.Unix(0, e.removedAt.Load()) },
+		Freshness:   e.settings.Timing.Freshness, Margin: e.settings.Timing.DriftMargin,
 	}
 }
 
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -109,7 +109,7 @@
 func (e *Entry) gone(listed map[string]bool, absentSince map[string]time.Time) map[string]bool {
 	gone := map[string]bool{}
 	for id, m := range e.view.Load().State.GetMembers() {
-		silent, answered := e.observer.Silent(id, m.Incarnation)
+		silent, answered := e.observer.SilentFor(id, m.Incarnation)
 		if listed[id] || id == e.member.Instance || answered && silent < goneTimeout {
 			delete(absentSince, id)
 			continue
@@ -160,7 +160,7 @@
 func (e *Entry) updateLastSeen(members map[string]*recorder.Member, lastSeen map[string]time.Time) {
 	now := time.Now()
 	reached := map[string]bool{}
-	for _, heartbeat := range e.observer.Beats(peerSilenceTimeout) {
+	for _, heartbeat := range e.observer.RecentHeartbeats(peerSilenceTimeout) {
 		reached[heartbeat.Instance] = true
 		for _, id := range heartbeat.Hears {
 			reached[id] = true
@@ -180,7 +180,7 @@
 		zone = e.settings.Zone
 	}
 	leaving := map[string]bool{e.member.Instance: e.leaving.Load()}
-	for _, heartbeat := range e.observer.Beats(heartbeatMaximumAge) {
+	for _, heartbeat := range e.observer.RecentHeartbeats(heartbeatMaximumAge) {
 		leaving[heartbeat.Instance] = heartbeat.Leaving
 	}
 	var sameZone, otherZones []caller.Address
@@ -206,7 +206,7 @@
 // isSilent reports whether a member last answered a heartbeat more than peerSilenceTimeout ago. It is false for a
 // member that has never answered.
 func (e *Entry) isSilent(m *recorder.Member) bool {
-	silent, ok := e.observer.Silent(m.Instance, m.Incarnation)
+	silent, ok := e.observer.SilentFor(m.Instance, m.Incarnation)
 	return ok && silent > peerSilenceTimeout
 }
 
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -68,7 +68,7 @@
 // allRates returns the token rates of this entry plus the rates in the recent heartbeats of the other entries.
 func (e *Entry) allRates() map[limiter.RateKey]limiter.Rate {
 	total := e.meter.Rates()
-	for _, heartbeat := range e.observer.Beats(heartbeatMaximumAge) {
+	for _, heartbeat := range e.observer.RecentHeartbeats(heartbeatMaximumAge) {
 		for _, r := range heartbeat.Rates {
 			key := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
 			t := total[key]
