--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -31,7 +31,7 @@
 // TestInstancesAgree lets instances in three zones, which have not exchanged gossip messages, choose a target for the
 // same shared part that no target has cached. All must choose its owner.
 func TestInstancesAgree(t *testing.T) {
-	list := targets(9, registrar.PrefillStage)
+	list := targets(9, registrar.Prompts)
 	chosen := map[identifier.TargetID]int{}
 	for _, zone := range []identifier.ZoneID{"z0", "z1", "z2"} {
 		var states chooser.TargetStates
@@ -45,7 +45,7 @@
 // TestAffinityAgainstLoad sends a burst with one shared part: the target that has cached it is chosen until its queue
 // costs more than prefilling the part elsewhere.
 func TestAffinityAgainstLoad(t *testing.T) {
-	list := targets(6, registrar.PrefillStage)
+	list := targets(6, registrar.Prompts)
 	var states chooser.TargetStates
 	states.Prefilled("t3", parts(1, 2)[:1], now)
 	choose := func() chooser.Choice {
@@ -65,7 +65,7 @@
 }
 
 func TestRestartedTargetsHaveEmptyCaches(t *testing.T) {
-	list := targets(1, registrar.PrefillStage)
+	list := targets(1, registrar.Prompts)
 	var states chooser.TargetStates
 	states.Candidates(list, nil, now)
 	states.Prefilled("t0", parts(1, 2), now)
@@ -77,7 +77,7 @@
 }
 
 func TestPeerLoads(t *testing.T) {
-	list := targets(2, registrar.DecodeStage)
+	list := targets(2, registrar.Answers)
 	var states chooser.TargetStates
 	load := func() chooser.Load { return states.Candidates(list, nil, now)[0].Load }
 	states.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
@@ -123,7 +123,7 @@
 }
 
 func BenchmarkPromptTarget(b *testing.B) {
-	list := targets(720, registrar.PrefillStage)
+	list := targets(720, registrar.Prompts)
 	var states chooser.TargetStates
 	p := &chooser.Prompt{Zone: "z0", Parts: parts(1, 2)}
 	for b.Loop() {
@@ -155,7 +155,7 @@
 // TestCommonFirstPart checks that sessions which share only a short first part are spread over the targets. An owner by
 // the first part alone would receive most requests.
 func TestCommonFirstPart(t *testing.T) {
-	list := targets(20, registrar.PrefillStage)
+	list := targets(20, registrar.Prompts)
 	var states chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	const sessions = 200
@@ -174,7 +174,7 @@
 // TestJitterSpreadsBursts lets 120 choices see the same idle targets, as in a burst that arrives at many instances.
 // Without jitter all would take the same target.
 func TestJitterSpreadsBursts(t *testing.T) {
-	list := targets(12, registrar.DecodeStage)
+	list := targets(12, registrar.Answers)
 	var states chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -243,7 +243,7 @@
 
 // chooseAnswerTarget chooses among the targets of the decode stage and those without a stage.
 func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
-	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
+	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
 	if j.route.HasPrompts {
 		return j.f.Chooser.Answer(j.f.Zone, j.jitter(), list)
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -104,7 +104,7 @@
 	route.Services = []matcher.WeightedService{{Service: "s", Weight: 1}}
 	table := matcher.New(matcher.Configuration{Version: 1, Routes: []matcher.Route{route}, Teams: []matcher.Team{{ID: "team", Keys: []string{"key"}}},
 		Services: []matcher.Service{{ID: "s", ConnectionLimit: 110}}})
-	targets := []*registrar.Target{{ID: "p1", Stage: registrar.PrefillStage}, {ID: "p2", Stage: registrar.PrefillStage}, {ID: "a1", Stage: registrar.DecodeStage}, {ID: "a2", Stage: registrar.DecodeStage}}
+	targets := []*registrar.Target{{ID: "p1", Stage: registrar.Prompts}, {ID: "p2", Stage: registrar.Prompts}, {ID: "a1", Stage: registrar.Answers}, {ID: "a2", Stage: registrar.Answers}}
 	if route.ID == "changing" {
 		targets = targets[:2]
 	}
@@ -253,7 +253,7 @@
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
 	res = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
 	quicktest.Check(t, res.Body.String(), quicktest.Equals, "ok")
-	quicktest.Check(t, b.received[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
+	quicktest.Check(t, b.received[0].Target.Stage, quicktest.Equals, registrar.Answers)
 }
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -69,7 +69,7 @@
 		return &Refusal{Status: http.StatusBadGateway, Reason: "TargetFailed"}
 	}
 	retryAfter := minimumRetryAfter
-	if wait, expected := j.f.Expected(j.service, registrar.DecodeStage, time.Now()); expected {
+	if wait, expected := j.f.Expected(j.service, registrar.Answers, time.Now()); expected {
 		retryAfter = wait + rand.N(retryAfterJitter)
 	}
 	return refuseNotRun("NoTarget", retryAfter, nil)
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -72,7 +72,7 @@
 		if !j.route.HasPrompts {
 			return answerChoice.Target, nil, nil
 		}
-		promptTargets := j.candidates(j.call.Parts, registrar.PrefillStage)
+		promptTargets := j.candidates(j.call.Parts, registrar.Prompts)
 		promptChoice, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.jitter()}, promptTargets)
 		if !ok && j.prefillFailed && j.call.Body.Whole() {
 			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", minimumRetryAfter, nil))
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -175,7 +175,7 @@
 func (s *Scaler) decoding(service identifier.ServiceID) map[identifier.ZoneID]int {
 	zones := map[identifier.ZoneID]int{}
 	for _, t := range s.Serving(service, time.Now()) {
-		if t.Stage == registrar.DecodeStage {
+		if t.Stage == registrar.Answers {
 			zones[t.Zone]++
 		}
 	}
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -62,7 +62,7 @@
 		time.AfterFunc(boot, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.add(o.Zone, o.Cheap, registrar.DecodeStage)
+			f.add(o.Zone, o.Cheap, registrar.Answers)
 		})
 	}
 	slices.SortStableFunc(pool, func(a, b *registrar.Target) int { return int(b.Stage) - int(a.Stage) })
@@ -117,7 +117,7 @@
 func (f *fleet) decoding() int {
 	n := 0
 	for _, t := range f.serving("s", time.Now()) {
-		if t.Stage == registrar.DecodeStage {
+		if t.Stage == registrar.Answers {
 			n++
 		}
 	}
@@ -134,9 +134,9 @@
 			for i, zone := range zones {
 				prices[zone] = 1
 				for n := range 4 {
-					stage := registrar.PrefillStage
+					stage := registrar.Prompts
 					if n == 0 && i < 2 {
-						stage = registrar.DecodeStage
+						stage = registrar.Answers
 					}
 					f.add(zone, false, stage)
 				}
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -46,9 +46,9 @@
 func stageEngines(stages string, zones string) []placer.StageEngine {
 	var list []placer.StageEngine
 	for i, s := range stages {
-		e := placer.StageEngine{ID: identifier.TargetID(rune('a' + i)), Zone: identifier.ZoneID(zones[i%len(zones)]), Stage: registrar.PrefillStage}
+		e := placer.StageEngine{ID: identifier.TargetID(rune('a' + i)), Zone: identifier.ZoneID(zones[i%len(zones)]), Stage: registrar.Prompts}
 		if s == 'A' {
-			e.Stage = registrar.DecodeStage
+			e.Stage = registrar.Answers
 		}
 		list = append(list, e)
 	}
@@ -64,7 +64,7 @@
 	quicktest.Assert(t, changes, quicktest.HasLen, 5)
 	left := map[identifier.ZoneID]int{}
 	for _, e := range list {
-		if e.Stage == registrar.DecodeStage {
+		if e.Stage == registrar.Answers {
 			left[e.Zone]++
 		}
 	}
@@ -75,7 +75,7 @@
 
 	// All decode engines were reclaimed.
 	list = stageEngines("PPPPPP", "xy")
-	quicktest.Assert(t, placer.PlanStages(list, 1), quicktest.DeepEquals, []placer.StageChange{{ID: "a", Stage: registrar.DecodeStage}})
+	quicktest.Assert(t, placer.PlanStages(list, 1), quicktest.DeepEquals, []placer.StageChange{{ID: "a", Stage: registrar.Answers}})
 
 	// Cheap engines decode only if no regular one can, because reclaiming them cuts off answers.
 	list = stageEngines("PPPP", "x")
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -45,7 +45,7 @@
 	zones := map[identifier.ZoneID]int{}
 	decoding, ready := 0, 0
 	for _, e := range engines {
-		if e.Stage == registrar.DecodeStage {
+		if e.Stage == registrar.Answers {
 			decoding++
 			zones[e.Zone]++
 			if !e.Busy {
@@ -55,21 +55,21 @@
 	}
 	var changes []StageChange
 	for ; decoding < wanted; decoding++ {
-		e := pick(engines, registrar.PrefillStage, func(a StageEngine) int { return zones[a.Zone] })
+		e := pick(engines, registrar.Prompts, func(a StageEngine) int { return zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]++
-		changes = append(changes, change(e, registrar.DecodeStage))
+		changes = append(changes, change(e, registrar.Answers))
 	}
 	// Engines that are still changing to decode don't count: they serve no answers yet.
 	for ; ready > wanted; ready-- {
-		e := pick(engines, registrar.DecodeStage, func(a StageEngine) int { return -zones[a.Zone] })
+		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -zones[a.Zone] })
 		if e == nil {
 			break
 		}
 		zones[e.Zone]--
-		changes = append(changes, change(e, registrar.PrefillStage))
+		changes = append(changes, change(e, registrar.Prompts))
 	}
 	return changes
 }
@@ -112,7 +112,7 @@
 }
 
 func cheapRank(e StageEngine, from registrar.Stage) int {
-	if e.Cheap == (from == registrar.PrefillStage) {
+	if e.Cheap == (from == registrar.Prompts) {
 		return 1
 	}
 	return 0
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -18,10 +18,10 @@
 const (
 	// AnyStage is the stage of plain targets.
 	AnyStage Stage = iota
-	// PrefillStage computes the KV cache of prompts for other targets.
-	PrefillStage
-	// DecodeStage generates answer tokens.
-	DecodeStage
+	// Prompts targets prefill: they compute the KV cache of prompts for other targets.
+	Prompts
+	// Answers targets decode: they generate answer tokens.
+	Answers
 )
 
 // String returns the stage's name in logs.
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -15,7 +15,7 @@
 )
 
 func target(sequence uint64, leaving bool) registrar.Target {
-	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Sequence: sequence, Leaving: leaving, Stage: registrar.PrefillStage}
+	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Sequence: sequence, Leaving: leaving, Stage: registrar.Prompts}
 }
 
 // TestDelayedEntriesAreIgnored guards against entries that arrive late: they must not revive a target that is leaving
@@ -54,14 +54,14 @@
 func TestOrderedTargetsTakeNoWork(t *testing.T) {
 	var r registrar.Registrar
 	r.Put(target(1, false), now)
-	r.RecordOrder("t", registrar.DecodeStage, now.Add(6*time.Second))
+	r.RecordOrder("t", registrar.Answers, now.Add(6*time.Second))
 	quicktest.Assert(t, r.Available("s", now), quicktest.HasLen, 0)
 	quicktest.Assert(t, r.NotLeaving("s"), quicktest.HasLen, 1)
-	quicktest.Assert(t, r.PendingOrders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.DecodeStage, Remaining: 6 * time.Second}})
+	quicktest.Assert(t, r.PendingOrders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.Answers, Remaining: 6 * time.Second}})
 	changed := target(2, false)
-	changed.Stage = registrar.DecodeStage
+	changed.Stage = registrar.Answers
 	r.Put(changed, now)
 	quicktest.Assert(t, r.Available("s", now), quicktest.HasLen, 1)
-	r.RecordOrder("t", registrar.PrefillStage, now.Add(time.Second))
+	r.RecordOrder("t", registrar.Prompts, now.Add(time.Second))
 	quicktest.Assert(t, r.Available("s", now.Add(2*time.Second)), quicktest.HasLen, 1, quicktest.Commentf("an order without effect expires"))
 }
