--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -50,7 +50,7 @@
 		}
 		b.Streams = append(b.Streams, newStream(name, m, from, now))
 	}
-	for _, o := range c.registry.PendingOrders(now) {
+	for _, o := range c.registry.Orders(now) {
 		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Remaining).Milliseconds()})
 	}
 	if s, ok := c.elector.Head(); ok {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -198,7 +198,7 @@
 		return 0, false
 	}
 	soonest, found := time.Duration(0), false
-	for _, o := range c.registry.PendingOrders(now) {
+	for _, o := range c.registry.Orders(now) {
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -183,8 +183,8 @@
 	Remaining time.Duration
 }
 
-// PendingOrders returns the stage changes that are not complete.
-func (r *Registrar) PendingOrders(now time.Time) []StageOrder {
+// Orders returns the stage changes that are not complete.
+func (r *Registrar) Orders(now time.Time) []StageOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []StageOrder
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -57,7 +57,7 @@
 	r.RecordOrder("t", registrar.Answers, now.Add(6*time.Second))
 	quicktest.Assert(t, r.Available("s", now), quicktest.HasLen, 0)
 	quicktest.Assert(t, r.NotLeaving("s"), quicktest.HasLen, 1)
-	quicktest.Assert(t, r.PendingOrders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.Answers, Remaining: 6 * time.Second}})
+	quicktest.Assert(t, r.Orders(now), quicktest.DeepEquals, []registrar.StageOrder{{Target: "t", Service: "s", Stage: registrar.Answers, Remaining: 6 * time.Second}})
 	changed := target(2, false)
 	changed.Stage = registrar.Answers
 	r.Put(changed, now)
