--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -325,11 +325,11 @@
 		return
 	}
 	if !c.registry.Put(t, time.Now()) {
-		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
+		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Revision), zap.Uint64("Offset", uint64(r.Offset)))
 		return
 	}
 	c.logger.Info("target", zap.String("Target", r.Key), zap.String("Service", string(t.Service)), zap.String("Zone", string(t.Zone)),
-		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
+		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Revision), zap.Uint64("Offset", uint64(r.Offset)))
 	c.peers.SendNow()
 }
 
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -42,8 +42,8 @@
 	WarmUpRemaining time.Duration
 	// StartedAt is its start time; a different one means a new incarnation, whose cache is empty.
 	StartedAt time.Time
-	// Sequence numbers the target's entries since its start.
-	Sequence uint64
+	// Revision numbers the target's entries since its start.
+	Revision uint64
 	// Cheap targets may be reclaimed at short notice.
 	Cheap bool
 }
@@ -87,13 +87,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.last[t.ID]
-	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Sequence < l.sequence || l.leaving && !t.Leaving) {
+	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Revision < l.sequence || l.leaving && !t.Leaving) {
 		return false
 	}
 	if r.last == nil {
 		r.last = map[identifier.TargetID]lastEntry{}
 	}
-	r.last[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Sequence, leaving: t.Leaving, at: now}
+	r.last[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Revision, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -15,7 +15,7 @@
 )
 
 func target(sequence uint64, leaving bool) registrar.Target {
-	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Sequence: sequence, Leaving: leaving, Stage: registrar.Prompts}
+	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Revision: sequence, Leaving: leaving, Stage: registrar.Prompts}
 }
 
 // TestDelayedEntriesAreIgnored guards against entries that arrive late: they must not revive a target that is leaving
