--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -73,12 +73,12 @@
 	// StoreRestoredAt returns the end of the store's last outage, or the zero time if there was none.
 	StoreRestoredAt func() time.Time
 
-	mu     sync.Mutex
-	byID   map[identifier.TargetID]*Target
-	lapsed map[identifier.TargetID]time.Time
-	orders map[identifier.TargetID]pendingOrder
-	last   map[identifier.TargetID]lastEntry
-	list   atomic.Pointer[[]*Target]
+	mu        sync.Mutex
+	byID      map[identifier.TargetID]*Target
+	lapsed    map[identifier.TargetID]time.Time
+	orders    map[identifier.TargetID]pendingOrder
+	lastEntry map[identifier.TargetID]lastEntry
+	list      atomic.Pointer[[]*Target]
 }
 
 // Put adds or replaces a target, unless the entry is older than the newest one of the same incarnation, or would revoke
@@ -86,14 +86,14 @@
 func (r *Registrar) Put(t Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.last[t.ID]
+	l := r.lastEntry[t.ID]
 	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Revision < l.sequence || l.leaving && !t.Leaving) {
 		return false
 	}
-	if r.last == nil {
-		r.last = map[identifier.TargetID]lastEntry{}
+	if r.lastEntry == nil {
+		r.lastEntry = map[identifier.TargetID]lastEntry{}
 	}
-	r.last[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Revision, leaving: t.Leaving, at: now}
+	r.lastEntry[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Revision, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
@@ -130,9 +130,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.orders, func(_ identifier.TargetID, o pendingOrder) bool { return now.After(o.until) })
-	for id, l := range r.last {
+	for id, l := range r.lastEntry {
 		if r.byID[id] == nil && now.Sub(l.at) > lastEntryLifetime {
-			delete(r.last, id)
+			delete(r.lastEntry, id)
 		}
 	}
 	for id, until := range r.lapsed {
