--- a/internal/chooser/book.go
+++ b/internal/chooser/book.go
@@ -154,8 +154,8 @@
 	s.failuresAt = now
 }
 
-// OwnLoads returns the work that this instance has in flight, by target; idle targets are left out.
-func (ts *TargetStates) OwnLoads() map[identifier.TargetID]Load {
+// Local returns the work that this instance has in flight, by target; idle targets are left out.
+func (ts *TargetStates) Local() map[identifier.TargetID]Load {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	own := map[identifier.TargetID]Load{}
@@ -167,8 +167,8 @@
 	return own
 }
 
-// SetPeerLoads replaces the loads reported by a peer.
-func (ts *TargetStates) SetPeerLoads(peer string, loads map[identifier.TargetID]Load, now time.Time) {
+// UpdatePeer replaces the loads reported by a peer.
+func (ts *TargetStates) UpdatePeer(peer string, loads map[identifier.TargetID]Load, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	ts.removePeer(peer)
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -80,10 +80,10 @@
 	list := targets(2, registrar.Answers)
 	var states chooser.TargetStates
 	load := func() chooser.Load { return states.Candidates(list, nil, now)[0].Load }
-	states.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
-	states.SetPeerLoads("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
+	states.UpdatePeer("peer", map[identifier.TargetID]chooser.Load{"t0": {Answers: 5}}, now)
+	states.UpdatePeer("other", map[identifier.TargetID]chooser.Load{"t0": {Answers: 1}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 6)
-	states.SetPeerLoads("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
+	states.UpdatePeer("peer", map[identifier.TargetID]chooser.Load{"t1": {Answers: 2}}, now)
 	quicktest.Assert(t, load().Answers, quicktest.Equals, 1)
 	choice, _ := chooser.AnswerTarget("z0", chooser.Jitter{}, states.Candidates(list, nil, now))
 	quicktest.Assert(t, choice.Target.ID, quicktest.Equals, identifier.TargetID("t0"))
--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -22,13 +22,13 @@
 // status returns the current status of this instance.
 func (c *Coordinator) status(now time.Time) *gossiper.Status {
 	s := &gossiper.Status{Ready: c.Ready(), Leaving: c.leaving.Load(), UnixMilliseconds: now.UnixMilli()}
-	for id, load := range c.targetStates.OwnLoads() {
+	for id, load := range c.targetStates.Local() {
 		s.Loads = append(s.Loads, &gossiper.Load{
 			Target: string(id), PromptTokens: uint64(max(0, load.PromptTokens)),
 			Answers: uint32(max(0, load.Answers)), AnswerTokens: uint64(max(0, load.AnswerTokens)),
 		})
 	}
-	for service, rate := range c.demand.LocalRates(now) {
+	for service, rate := range c.demand.Local(now) {
 		s.Rates = append(s.Rates, &gossiper.Rate{Service: string(service), PromptTokensPerSecond: rate})
 	}
 	return s
@@ -124,9 +124,9 @@
 			PromptTokens: identifier.Tokens(l.PromptTokens), Answers: int(l.Answers), AnswerTokens: identifier.Tokens(l.AnswerTokens),
 		}
 	}
-	c.targetStates.SetPeerLoads(s.Member.ID, loads, now)
+	c.targetStates.UpdatePeer(s.Member.ID, loads, now)
 	for _, r := range s.Rates {
-		c.demand.SetPeerRate(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
+		c.demand.UpdatePeer(s.Member.ID, identifier.ServiceID(r.Service), r.PromptTokensPerSecond, now)
 	}
 }
 
--- a/internal/demander/demander.go
+++ b/internal/demander/demander.go
@@ -51,8 +51,8 @@
 	s.local += float64(tokens) / rateDecayTime.Seconds()
 }
 
-// LocalRates returns this instance's rates in tokens per second, without idle services.
-func (d *Demand) LocalRates(now time.Time) map[identifier.ServiceID]float64 {
+// Local returns this instance's rates in tokens per second, without idle services.
+func (d *Demand) Local(now time.Time) map[identifier.ServiceID]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	local := map[identifier.ServiceID]float64{}
@@ -64,8 +64,8 @@
 	return local
 }
 
-// SetPeerRate records a peer's reported rate in tokens per second.
-func (d *Demand) SetPeerRate(peer string, id identifier.ServiceID, rate float64, now time.Time) {
+// UpdatePeer records a peer's reported rate in tokens per second.
+func (d *Demand) UpdatePeer(peer string, id identifier.ServiceID, rate float64, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.service(id)
--- a/internal/demander/demander_test.go
+++ b/internal/demander/demander_test.go
@@ -18,7 +18,7 @@
 	for range 10 {
 		now = now.Add(time.Second)
 		d.Add("s", 36_700, now)
-		d.SetPeerRate("peer", "s", 36_700, now)
+		d.UpdatePeer("peer", "s", 36_700, now)
 		d.Sample(now)
 	}
 	peak := d.Peak("s")
@@ -29,5 +29,5 @@
 	}
 	decayed := d.Peak("s")
 	quicktest.Assert(t, decayed > 0.4*peak && decayed < 0.6*peak, quicktest.IsTrue, quicktest.Commentf("peak of %.2f engines a minute later", decayed))
-	quicktest.Assert(t, d.LocalRates(now), quicktest.HasLen, 0)
+	quicktest.Assert(t, d.Local(now), quicktest.HasLen, 0)
 }
