--- a/internal/commander/entry.go
+++ b/internal/commander/entry.go
@@ -53,7 +53,7 @@
 	log.SetLogger(kratosLogger{logger})
 	faces := coordinator.Handlers{
 		Client: func(co *coordinator.Coordinator) http.Handler {
-			return &platform.Ingress{Server: co, Limits: co.Limits, Bodies: &co.Bodies, Logger: logger}
+			return &platform.Ingress{Server: co, Limits: co.Limits, BodyBuffers: &co.BodyBuffers, Logger: logger}
 		},
 		Ready: func(co *coordinator.Coordinator) http.Handler {
 			return &platform.Readiness{Ready: co.Ready}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -106,8 +106,8 @@
 	windowReporter  *reporter.WindowReporter
 	forward         *forwarder.Forwarder
 
-	// Bodies limits the memory that request bodies use.
-	Bodies forwarder.BodyBuffers
+	// BodyBuffers limits the memory that request bodies use.
+	BodyBuffers forwarder.BodyBuffers
 	// Metrics serves all metrics in the Prometheus text format.
 	Metrics http.Handler
 	metrics tally.Scope
@@ -130,7 +130,7 @@
 		ID: string(settings.Instance), Incarnation: uuid.NewString()[:incarnationDigits], Zone: string(settings.Zone),
 		ClientAddress: settings.Listen, PeerAddress: settings.PeerListen, Capacity: capacity(settings.Bounds),
 	}
-	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyMemoryDivisor
+	c.BodyBuffers.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyMemoryDivisor
 	c.wireMirrors()
 	c.wirePeers()
 	c.wireDuties()
