--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -184,7 +184,7 @@
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
 		Targets: c.registry.Available, Expected: c.expected, Instances: c.instanceCount,
-		States: &c.targetStates, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
+		TargetStates: &c.targetStates, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
 		Backend: c.platform.Backend, Budget: c.retryBudget,
 		CountRequest: c.countRequest, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -54,14 +54,14 @@
 
 // Forwarder handles client requests; all fields must be set.
 type Forwarder struct {
-	Zone     identifier.ZoneID
-	Table    func() *matcher.Table
-	TableAge func() time.Duration
-	Targets  func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	States   *chooser.TargetStates
-	Chooser  *chooser.Chooser
-	Backend  Backend
-	Budget   Budget
+	Zone         identifier.ZoneID
+	Table        func() *matcher.Table
+	TableAge     func() time.Duration
+	Targets      func(service identifier.ServiceID, now time.Time) []*registrar.Target
+	TargetStates *chooser.TargetStates
+	Chooser      *chooser.Chooser
+	Backend      Backend
+	Budget       Budget
 	// Instances returns how many instances share the targets' connections, including this one.
 	Instances func() int
 	// Expected returns the time until a target that is changing to a stage is expected there, or false if there is none.
@@ -238,7 +238,7 @@
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
 		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failedTargets, t.ID)
 	})
-	return j.f.States.Candidates(targets, parts, time.Now())
+	return j.f.TargetStates.Candidates(targets, parts, time.Now())
 }
 
 // chooseAnswerTarget chooses among the targets of the decode stage and those without a stage.
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -118,7 +118,7 @@
 		Targets: func(identifier.ServiceID, time.Time) []*registrar.Target {
 			return append([]*registrar.Target(nil), targets...)
 		},
-		States: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
+		TargetStates: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
 		RecordDemand:  func(identifier.ServiceID, identifier.Tokens, time.Time) {},
 		MaximumJitter: func() time.Duration { return 0 }, Instances: func() int { return 5 },
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -33,7 +33,7 @@
 		// A case that does not return leads to an attempt on another target.
 		switch {
 		case err == nil && !j.retryableFailure(response):
-			j.f.States.Succeeded(choice.Target.ID, time.Now())
+			j.f.TargetStates.Succeeded(choice.Target.ID, time.Now())
 			return j.writeResponse(ctx, response, buffered)
 		case err == nil && !j.takeRetry():
 			return j.writeResponse(ctx, response, buffered)
@@ -47,7 +47,7 @@
 		case j.route.Kind != matcher.Safe || ctx.Err() != nil || !j.takeRetry():
 			return refuseOutcomeUnknown(ctx, "TargetFailed", err)
 		}
-		j.f.States.Failed(choice.Target.ID, time.Now())
+		j.f.TargetStates.Failed(choice.Target.ID, time.Now())
 		j.failedTargets = append(j.failedTargets, choice.Target.ID)
 	}
 }
@@ -94,7 +94,7 @@
 // attemptPlain makes one attempt and buffers the start of the response, which is all of it in most cases. If the response
 // breaks off there, the client receives none of it.
 func (j *job) attemptPlain(ctx context.Context, t *registrar.Target) (*Response, []byte, error) {
-	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
+	end := j.f.TargetStates.Begin(t.ID, chooser.Load{Answers: 1}, time.Now())
 	defer end()
 	j.attempts++
 	j.trace.answerTarget = t.ID
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -39,7 +39,7 @@
 		}
 		j.f.Logger.Info("answer target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(t.ID)), zap.Int("Event", stream.lastID), zap.Error(err))
-		j.f.States.Failed(t.ID, time.Now())
+		j.f.TargetStates.Failed(t.ID, time.Now())
 		j.failedTargets = append(j.failedTargets, t.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -96,7 +96,7 @@
 		j.f.Logger.Info("prompt target failed", zap.String("RequestID", string(j.call.ID)),
 			zap.String("Target", string(promptChoice.Target.ID)), zap.Duration("Predicted", promptChoice.Predicted), zap.Error(err))
 		j.prefillFailed = true
-		j.f.States.Failed(promptChoice.Target.ID, time.Now())
+		j.f.TargetStates.Failed(promptChoice.Target.ID, time.Now())
 		j.failedTargets = append(j.failedTargets, promptChoice.Target.ID)
 		switch {
 		case ctx.Err() != nil:
@@ -134,15 +134,15 @@
 
 // prefill computes the prompt's KV cache on the chosen target.
 func (j *job) prefill(ctx context.Context, choice chooser.Choice) (*KVHandle, error) {
-	end := j.f.States.Begin(choice.Target.ID, chooser.Load{PromptTokens: choice.Uncached}, time.Now())
+	end := j.f.TargetStates.Begin(choice.Target.ID, chooser.Load{PromptTokens: choice.Uncached}, time.Now())
 	defer end()
 	started := time.Now()
 	handle, err := j.f.Backend.Prefill(ctx, j.call, j.attempt(choice.Target, nil, ""))
 	if err != nil {
 		return nil, err
 	}
-	j.f.States.Succeeded(choice.Target.ID, time.Now())
-	j.f.States.Prefilled(choice.Target.ID, j.call.Parts, time.Now())
+	j.f.TargetStates.Succeeded(choice.Target.ID, time.Now())
+	j.f.TargetStates.Prefilled(choice.Target.ID, j.call.Parts, time.Now())
 	j.trace.promptTarget, j.trace.predicted, j.trace.uncached, j.trace.prefillTook =
 		choice.Target.ID, choice.Predicted, choice.Uncached, time.Since(started)
 	j.f.Metrics.Timer("PromptRead").Record(j.trace.prefillTook)
@@ -169,7 +169,7 @@
 	for _, part := range j.call.Parts {
 		tokens += part.Tokens
 	}
-	end := j.f.States.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
+	end := j.f.TargetStates.Begin(t.ID, chooser.Load{Answers: 1, AnswerTokens: tokens}, time.Now())
 	defer end()
 	j.attempts++
 	j.trace.answerTarget = t.ID
@@ -192,7 +192,7 @@
 	if err := s.relay(response); err != nil {
 		return err
 	}
-	j.f.States.Succeeded(t.ID, time.Now())
+	j.f.TargetStates.Succeeded(t.ID, time.Now())
 	return nil
 }
 
