--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -64,14 +64,14 @@
 // loads, which are one or two gossip intervals old.
 type Jitter struct {
 	Seed    uint64
-	Maximum time.Duration
+	MaximumJitter time.Duration
 }
 
 func (j Jitter) offset(t *registrar.Target) time.Duration {
-	if j.Maximum <= 0 {
+	if j.MaximumJitter <= 0 {
 		return 0
 	}
-	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.Maximum))
+	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.MaximumJitter))
 }
 
 // Prompt describes a prompt for the choice of its target.
--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -178,7 +178,7 @@
 	var states chooser.TargetStates
 	chosen := map[identifier.TargetID]int{}
 	for i := range uint64(120) {
-		choice, _ := chooser.AnswerTarget("z0", chooser.Jitter{Seed: i, Maximum: 80 * time.Millisecond}, states.Candidates(list, nil, now))
+		choice, _ := chooser.AnswerTarget("z0", chooser.Jitter{Seed: i, MaximumJitter: 80 * time.Millisecond}, states.Candidates(list, nil, now))
 		chosen[choice.Target.ID]++
 	}
 	for id, n := range chosen {
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -121,7 +121,7 @@
 
 // jitter returns a new jitter that covers the possible error of the loads reported by peers.
 func (j *job) jitter() chooser.Jitter {
-	return chooser.Jitter{Seed: rand.Uint64(), Maximum: j.f.MaximumJitter()}
+	return chooser.Jitter{Seed: rand.Uint64(), MaximumJitter: j.f.MaximumJitter()}
 }
 
 // adjustRefusal replaces a refusal that implies that the request has not run, in case a target may have run it.
