--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// Handle processes a peer's message and returns the reply.
-func (g *Gossiper) Handle(b *Beat) *Beat {
+// Answer processes a peer's message and returns the reply.
+func (g *Gossiper) Answer(b *Beat) *Beat {
 	p := g.receive(b)
 	return g.compose(p)
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -48,7 +48,7 @@
 		return errUnreachable
 	}
 	time.Sleep(time.Millisecond)
-	proto.Merge(reply, to.Handle(proto.Clone(req).(*gossiper.Beat)))
+	proto.Merge(reply, to.Answer(proto.Clone(req).(*gossiper.Beat)))
 	return nil
 }
 
