--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -49,7 +49,7 @@
 	s.mu.Unlock()
 	req := request(a, draw, tried)
 	req.PromptTokens += identifier.Tokens(j.emitted)
-	return e.tracker.PlanCompletion(tracker.ModelGroup(model), req, nil)
+	return e.tracker.Plan(tracker.ModelGroup(model), req, nil)
 }
 
 // admitOwn decides as the relayer does, with shares from the rates that the entries exchanged.
@@ -186,6 +186,6 @@
 	t := s.targets[i]
 	req := request(arrival{}, 1, nil)
 	req.Excluded = func(id identifier.TargetID) bool { return id != identifier.TargetID(t.ID) }
-	plan, ok := e.tracker.PlanCompletion(tracker.ModelGroup(model), req, nil)
+	plan, ok := e.tracker.Plan(tracker.ModelGroup(model), req, nil)
 	return plan, ok
 }
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -250,7 +250,7 @@
 		s.engine(plan.Prefill.ID).submit(pre)
 		ok := <-pre.done
 		e.tracker.Finish(plan.Prefill, !ok)
-		e.tracker.ObserveFirstToken(plan.Prefill)
+		e.tracker.FirstToken(plan.Prefill)
 		j.imported = ok
 		time.Sleep(20 * time.Millisecond)
 	} else {
@@ -266,7 +266,7 @@
 	j.onToken = func() {
 		if !observed {
 			observed = true
-			e.tracker.ObserveFirstToken(plan.Answer)
+			e.tracker.FirstToken(plan.Answer)
 		} else {
 			total++
 			if time.Since(last) > promisedGap {
@@ -275,7 +275,7 @@
 		}
 		last = time.Now()
 		if total == 8 {
-			e.tracker.ObserveTokens(plan.Answer, late, total)
+			e.tracker.Tokens(plan.Answer, late, total)
 			late, total = 0, 0
 		}
 		if first {
--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -39,7 +39,7 @@
 		transfer, err := s.prefill(h, plan.Prefill)
 		s.Tracker.Finish(plan.Prefill, err != nil)
 		if err == nil {
-			s.Tracker.ObserveFirstToken(plan.Prefill)
+			s.Tracker.FirstToken(plan.Prefill)
 			req.Header.Set(chatter.HandleHeader, transfer.Handle)
 		}
 	}
@@ -115,7 +115,7 @@
 // among them.
 func (s *Relayer) observeToken(h *chat, now time.Time) {
 	if h.lastTokenAt.IsZero() {
-		s.Tracker.ObserveFirstToken(h.plan.Answer)
+		s.Tracker.FirstToken(h.plan.Answer)
 	} else {
 		h.tokens++
 		promised := time.Duration(h.view.Promise().GetBetweenTokensMilliseconds()) * time.Millisecond
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -164,11 +164,11 @@
 		candidates = append(candidates, candidateLogEntry{ID: id, PredictedMilliseconds: score.Predicted.Milliseconds(), CachedTokens: score.Cached})
 	}
 	name := tracker.ModelGroup(identifier.ModelID(h.request.Model))
-	plan, ok := s.Tracker.PlanCompletion(name, req, onScore)
+	plan, ok := s.Tracker.Plan(name, req, onScore)
 	if !ok && len(h.tried) > 0 {
 		// Every usable target has failed once; allow them again, as they may still resume the stream.
 		clear(h.tried)
-		plan, ok = s.Tracker.PlanCompletion(name, req, onScore)
+		plan, ok = s.Tracker.Plan(name, req, onScore)
 	}
 	if !ok {
 		return plan, &answerer.Refusal{
@@ -294,7 +294,7 @@
 	h.accountedTokens = h.delivered
 	h.accountedAt = time.Now()
 	if h.plan.Answer.ID != "" {
-		s.Tracker.ObserveTokens(h.plan.Answer, h.lateTokens, h.tokens)
+		s.Tracker.Tokens(h.plan.Answer, h.lateTokens, h.tokens)
 		h.lateTokens, h.tokens = 0, 0
 	}
 }
--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -21,9 +21,9 @@
 	Cached    identifier.Tokens
 }
 
-// PlanCompletion chooses the cheapest plan: a mixed engine alone, or a prefill engine together with a decode or
+// Plan chooses the cheapest plan: a mixed engine alone, or a prefill engine together with a decode or
 // mixed engine that imports the KV cache. If neither is available, a decode engine also prefills the prompt.
-func (t *Tracker) PlanCompletion(name string, req router.Request, onScore func(identifier.TargetID, router.Score)) (Plan, bool) {
+func (t *Tracker) Plan(name string, req router.Request, onScore func(identifier.TargetID, router.Score)) (Plan, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groups[name]
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -211,17 +211,17 @@
 	}
 }
 
-// ObserveFirstToken records that the first token of an answer, or the end of a separate prefill, has just been
+// FirstToken records that the first token of an answer, or the end of a separate prefill, has just been
 // observed. It compares the time since the request was sent with the time predicted from the prefill rate.
-func (t *Tracker) ObserveFirstToken(a Assignment) {
+func (t *Tracker) FirstToken(a Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a.target.observeFirstToken(time.Since(a.sentAt), a.predicted)
 }
 
-// ObserveTokens records tokens of an answer and how many of them were late: their gap to the previous token exceeded
+// Tokens records tokens of an answer and how many of them were late: their gap to the previous token exceeded
 // the promised time between tokens.
-func (t *Tracker) ObserveTokens(a Assignment, late, total int64) {
+func (t *Tracker) Tokens(a Assignment, late, total int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a.target.observeTokens(time.Now(), late, total)
