--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -49,7 +49,7 @@
 	prefillSlowdown float64
 	// peerSendRatio is the load that all other entry instances are assumed to add, as a multiple of this one's.
 	peerSendRatio      float64
-	lateShare          float64
+	late               float64
 	lateShareUpdatedAt time.Time
 	// batchLimit is the estimated number of answers at which tokens are still on time; zero means no observation.
 	batchLimit     float64
@@ -133,7 +133,7 @@
 	tg.role = role
 	tg.prefillSlowdown = 0
 	tg.batchLimit = 0
-	tg.lateShare = 0
+	tg.late = 0
 }
 
 // observeFirstToken updates the moving average of the ratio of measured to predicted prefill time. Short
@@ -156,7 +156,7 @@
 	}
 	share := tg.decayedLateShare(now)
 	weight := 1 - math.Exp(-float64(total)/lateWindowTokens)
-	tg.lateShare = share + (float64(late)/float64(total)-share)*weight
+	tg.late = share + (float64(late)/float64(total)-share)*weight
 	tg.lateShareUpdatedAt = now
 	tg.adjustBatchLimit(now)
 }
@@ -172,7 +172,7 @@
 	if tg.batchLimit == 0 {
 		tg.batchLimit = slots
 	}
-	if tg.lateShare > toleratedLateShare {
+	if tg.late > toleratedLateShare {
 		tg.batchLimit = max(slots*minimumBatchFraction, min(tg.batchLimit, float64(tg.activeRequests()))*batchDecreaseFactor)
 		return
 	}
@@ -192,7 +192,7 @@
 	if tg.lateShareUpdatedAt.IsZero() {
 		return 0
 	}
-	return tg.lateShare * math.Exp(-now.Sub(tg.lateShareUpdatedAt).Seconds()/lateDecayTime.Seconds())
+	return tg.late * math.Exp(-now.Sub(tg.lateShareUpdatedAt).Seconds()/lateDecayTime.Seconds())
 }
 
 // applyReport replaces the reported load and drops the records of sends and ends that the report already covers.
@@ -217,9 +217,9 @@
 	tg.failures = 0
 }
 
-// applyEvents updates the set of cached parts. It discards the set if events are missing or the sequence numbers
+// events updates the set of cached parts. It discards the set if events are missing or the sequence numbers
 // went back.
-func (tg *target) applyEvents(page chatter.CacheEvents) {
+func (tg *target) events(page chatter.CacheEvents) {
 	if page.Next < tg.nextEvent || len(page.Events) > 0 && page.Events[0].Sequence > tg.nextEvent {
 		tg.parts = map[uint64]bool{}
 	}
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -314,7 +314,7 @@
 	}
 	tg.applyReport(received, load)
 	if wantsEvents {
-		tg.applyEvents(events)
+		tg.events(events)
 	}
 }
 
