--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -218,7 +218,7 @@
 		freshness = repeatableFreshness
 	}
 	return &Attempt{
-		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), Priority: matcher.EffectivePriority(j.route, j.team),
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), EffectivePriority: matcher.EffectivePriority(j.route, j.team),
 		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connectionShare(),
 	}
 }
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -53,8 +53,8 @@
 	Team   identifier.TeamID
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Priority orders the requests in the target's queue; 0 is the highest.
-	Priority int
+	// EffectivePriority orders the requests in the target's queue; 0 is the highest.
+	EffectivePriority int
 	// Source is the prompt's KV cache, or nil without prefill.
 	Source *KVHandle
 	// LastEvent is the id of the event after which the stream resumes, or empty.
