--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -219,7 +219,7 @@
 	}
 	return &Attempt{
 		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), EffectivePriority: matcher.EffectivePriority(j.route, j.team),
-		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connectionShare(),
+		Source: source, LastEvent: lastEvent, MaximumIdle: freshness, Connections: j.connectionShare(),
 	}
 }
 
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/port.go
@@ -61,8 +61,8 @@
 	LastEvent string
 	// Connections is the maximum number of connections from this instance to the target; zero means no limit.
 	Connections int
-	// Freshness is the maximum idle time of a connection that may be reused; zero requires a new connection.
-	Freshness time.Duration
+	// MaximumIdle is the maximum idle time of a connection that may be reused; zero requires a new connection.
+	MaximumIdle time.Duration
 }
 
 // Response is a target's HTTP response; Body must be closed.
--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -35,8 +35,8 @@
 	Body      []byte
 	Rest      io.Reader
 	RestBytes int64
-	// Freshness is how long ago a connection may have been used last; zero: a new connection.
-	Freshness time.Duration
+	// MaximumIdle is how long ago a connection may have been used last; zero: a new connection.
+	MaximumIdle time.Duration
 	// Connections is how many connections to the address may be open at once; zero: any number.
 	Connections int
 	// Belongs tells an answer to this request from one to another request on the same connection.
@@ -78,7 +78,7 @@
 //
 // The connection is closed when ctx ends, also while the body is being read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
-	c, err := p.get(ctx, r.Address, r.Freshness, r.Connections)
+	c, err := p.get(ctx, r.Address, r.MaximumIdle, r.Connections)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -72,7 +72,7 @@
 	defer cancel()
 	a, err := p.Do(ctx, &pooler.Request{
 		Address: tg.addr, Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Freshness: freshness, Connections: connections,
+		MaximumIdle: freshness, Connections: connections,
 		Belongs: func(_ int, h http.Header) bool { return h.Get("X-Id") == id },
 	})
 	if err != nil {
