--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -101,7 +101,7 @@
 	if route.Attempts == 0 {
 		route.Attempts = 2
 	}
-	route.Services = []matcher.WeightedService{{Service: "s", Weight: 1}}
+	route.WeightedServices = []matcher.WeightedService{{Service: "s", Weight: 1}}
 	table := matcher.New(matcher.Configuration{Version: 1, Routes: []matcher.Route{route}, Teams: []matcher.Team{{ID: "team", Keys: []string{"key"}}},
 		Services: []matcher.Service{{ID: "s", ConnectionLimit: 110}}})
 	targets := []*registrar.Target{{ID: "p1", Stage: registrar.Prompts}, {ID: "p2", Stage: registrar.Prompts}, {ID: "a1", Stage: registrar.Answers}, {ID: "a2", Stage: registrar.Answers}}
--- a/internal/matcher/configuration.go
+++ b/internal/matcher/configuration.go
@@ -38,12 +38,12 @@
 	// MaximumEventGap is the promised longest time between two events.
 	MaximumEventGap time.Duration
 	// Priority orders requests; 0 is the most urgent.
-	Priority   int
-	Services   []WeightedService
-	Attempts   int
-	Public     bool
-	HasPrompts bool
-	Resumable  bool
+	Priority         int
+	WeightedServices []WeightedService
+	Attempts         int
+	Public           bool
+	HasPrompts       bool
+	Resumable        bool
 }
 
 // Repeatable reports whether a request of the route may run again from its beginning.
--- a/internal/matcher/table.go
+++ b/internal/matcher/table.go
@@ -65,20 +65,20 @@
 // PickService returns the service at a point of the route's cumulative weights, from 0 to 1.
 func (r *Route) PickService(point float64) identifier.ServiceID {
 	total := 0.0
-	for _, s := range r.Services {
+	for _, s := range r.WeightedServices {
 		total += s.Weight
 	}
 	offset := point * total
-	for _, s := range r.Services {
+	for _, s := range r.WeightedServices {
 		if offset < s.Weight {
 			return s.Service
 		}
 		offset -= s.Weight
 	}
-	if len(r.Services) == 0 {
+	if len(r.WeightedServices) == 0 {
 		return ""
 	}
-	return r.Services[len(r.Services)-1].Service
+	return r.WeightedServices[len(r.WeightedServices)-1].Service
 }
 
 // EffectivePriority returns the priority of a request: the team's if set, else the route's.
