--- a/internal/coordinator/beats.go
+++ b/internal/coordinator/beats.go
@@ -98,7 +98,7 @@
 
 // announceOrders registers this instance's pending orders and sends them to the peers.
 func (c *Coordinator) announceOrders() {
-	for _, p := range c.stageController.PendingOrders() {
+	for _, p := range c.stageController.Pending() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
 	}
 	c.peers.SendNow()
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -71,7 +71,7 @@
 	Targets   func(service identifier.ServiceID) []*registrar.Target
 	// ScalingDown reports whether targets of a service are being withdrawn, which may include one in the decode stage.
 	ScalingDown func(service identifier.ServiceID) bool
-	// Announce reports PendingOrders to the other instances at once.
+	// Announce reports Pending to the other instances at once.
 	Announce func()
 	Logger   *zap.Logger
 
@@ -168,21 +168,21 @@
 	group.Wait()
 }
 
-// PendingOrder is an order sent within the last SettleTime.
-type PendingOrder struct {
+// Pending is an order sent within the last SettleTime.
+type Pending struct {
 	Target identifier.TargetID
 	Stage  registrar.Stage
 	Age    time.Duration
 }
 
-// PendingOrders returns the orders that the targets' published entries may not show yet.
-func (k *StageController) PendingOrders() []PendingOrder {
+// Pending returns the orders that the targets' published entries may not show yet.
+func (k *StageController) Pending() []Pending {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var list []PendingOrder
+	var list []Pending
 	for id, p := range k.ordered {
 		if age := time.Since(p.at); age < SettleTime {
-			list = append(list, PendingOrder{Target: id, Stage: p.stage, Age: age})
+			list = append(list, Pending{Target: id, Stage: p.stage, Age: age})
 		}
 	}
 	return list
