--- a/internal/answerer/refusal.go
+++ b/internal/answerer/refusal.go
@@ -49,11 +49,11 @@
 
 // Refusal is a final answer to a request that was not served.
 type Refusal struct {
-	Status  int
-	Code    Code
-	Message string
-	Run     Run
-	Return  time.Duration
+	Status     int
+	Code       Code
+	Message    string
+	Run        Run
+	RetryAfter time.Duration
 }
 
 // Body is the JSON form of a refusal.
@@ -78,8 +78,8 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(RunHeader, string(r.Run))
-	if r.Return > 0 {
-		seconds := (r.Return + time.Second - 1) / time.Second
+	if r.RetryAfter > 0 {
+		seconds := (r.RetryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", fmt.Sprintf("%d", seconds))
 	}
 	w.WriteHeader(r.Status)
@@ -102,6 +102,6 @@
 		Type:               kind,
 		Code:               r.Code,
 		Run:                r.Run,
-		ReturnMilliseconds: r.Return.Milliseconds(),
+		ReturnMilliseconds: r.RetryAfter.Milliseconds(),
 	}}
 }
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -134,7 +134,7 @@
 // retryRefusal returns the refusal if a failed request may not be retried; otherwise it takes a retry from the budget
 // and returns nil.
 func (s *Relayer) retryRefusal(h *chat, attempt int) *answerer.Refusal {
-	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, Return: shortRetryAfter}
+	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, RetryAfter: shortRetryAfter}
 	switch {
 	case h.ctx.Err() != nil:
 		refusal.Status, refusal.Code = http.StatusGatewayTimeout, answerer.CodeTimeout
@@ -173,7 +173,7 @@
 	if !ok {
 		return plan, &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: runBefore(attempt),
-			Message: "no target can serve the request now", Return: shortRetryAfter,
+			Message: "no target can serve the request now", RetryAfter: shortRetryAfter,
 		}
 	}
 	if attempt == 1 {
@@ -230,7 +230,7 @@
 	}
 	return &answerer.Refusal{
 		Status: http.StatusTooManyRequests, Code: code, Run: answerer.NotRun,
-		Message: "the promised latency cannot be met now: " + decision.Reason, Return: decision.RetryAfter,
+		Message: "the promised latency cannot be met now: " + decision.Reason, RetryAfter: decision.RetryAfter,
 	}
 }
 
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -181,20 +181,20 @@
 func journalUnavailable() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalDown, Run: answerer.NotRun,
-		Message: "the call cannot be recorded now, so it was not sent", Return: journalRetryAfter,
+		Message: "the call cannot be recorded now, so it was not sent", RetryAfter: journalRetryAfter,
 	}
 }
 
 func inProgress() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeInProgress, Run: answerer.Unknown,
-		Message: "a call with this idempotency key is in progress", Return: shortRetryAfter,
+		Message: "a call with this idempotency key is in progress", RetryAfter: shortRetryAfter,
 	}
 }
 
 func outcomeUnknown() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeOutcomeOpen, Run: answerer.Unknown,
-		Message: "a call with this idempotency key was sent and its outcome is unknown", Return: shortRetryAfter,
+		Message: "a call with this idempotency key was sent and its outcome is unknown", RetryAfter: shortRetryAfter,
 	}
 }
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -101,7 +101,7 @@
 	if !serving {
 		return &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNotServing, Run: answerer.NotRun,
-			Message: "this instance cannot tell whether its configuration is current", Return: shortRetryAfter,
+			Message: "this instance cannot tell whether its configuration is current", RetryAfter: shortRetryAfter,
 		}
 	}
 	if open {
@@ -128,7 +128,7 @@
 	c.logger.Info("Refuse",
 		zap.String("Code", string(refusal.Code)),
 		zap.String("Run", string(refusal.Run)),
-		zap.Duration("Return", refusal.Return),
+		zap.Duration("Return", refusal.RetryAfter),
 		zap.String("Reason", refusal.Message))
 	if c.team != "" {
 		s.Ledger.Add(&recorder.TeamUsage{Team: string(c.team), Refused: 1})
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -105,7 +105,7 @@
 }
 
 func targetFailed(run answerer.Run) *answerer.Refusal {
-	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", Return: shortRetryAfter}
+	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", RetryAfter: shortRetryAfter}
 }
 
 // routeAndSend chooses a target and sends the call to it.
@@ -139,7 +139,7 @@
 		}
 		return assignment, &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: run,
-			Message: "no target can serve the call now", Return: shortRetryAfter,
+			Message: "no target can serve the call now", RetryAfter: shortRetryAfter,
 		}
 	}
 	v.logger.Info("Route",
--- a/internal/server/commands.go
+++ b/internal/server/commands.go
@@ -115,14 +115,14 @@
 	defer cancel()
 	started := time.Now()
 	offset, err := s.Administrator.Change(ctx, record)
-	refusal := &answerer.Refusal{Status: http.StatusServiceUnavailable, Code: answerer.CodeNotConfirmed, Run: answerer.Unknown, Return: commandReturn}
+	refusal := &answerer.Refusal{Status: http.StatusServiceUnavailable, Code: answerer.CodeNotConfirmed, Run: answerer.Unknown, RetryAfter: commandReturn}
 	switch {
 	case err == nil:
 		version := identifier.Version(s.View().State.GetVersion())
 		writeJSON(w, ChangeAnswer{Offset: offset, Version: version, InForceMilliseconds: time.Since(started).Milliseconds()})
 		return
 	case errors.Is(err, configurator.ErrConflict):
-		refusal.Status, refusal.Code, refusal.Run, refusal.Return = http.StatusConflict, answerer.CodeConflict, answerer.NotRun, 0
+		refusal.Status, refusal.Code, refusal.Run, refusal.RetryAfter = http.StatusConflict, answerer.CodeConflict, answerer.NotRun, 0
 	case errors.Is(err, provider.ErrRefused):
 		refusal.Run = answerer.NotRun
 	}
