--- a/internal/relayer/relay_test.go
+++ b/internal/relayer/relay_test.go
@@ -111,7 +111,7 @@
 	view := configurator.NewView(state)
 	return &relayer.Relayer{
 		Limits: parser.Limits{BodyBytes: 1 << 20, BodyTimeout: time.Second, RequestTimeout: 5 * time.Second}, Tracker: tr,
-		Ledger: &accounter.Ledger{Origin: "o"}, Meter: &limiter.Meter{}, Budget: &retrier.Budget{Ratio: 1, Burst: 10},
+		Ledger: &accounter.Ledger{Origin: "o"}, Meter: &limiter.Meter{}, Budget: &retrier.Budget{Share: 1, Burst: 10},
 		Logger: zap.NewNop(), Metrics: tally.NoopScope, HTTP: http.DefaultClient, NoKeepAliveHTTP: http.DefaultClient,
 		View: func() *configurator.View { return view }, Serving: func() bool { return true },
 		Share: func(identifier.TeamID, identifier.ModelID) (float64, float64) { return 0, 1 },
--- a/internal/retrier/budget.go
+++ b/internal/retrier/budget.go
@@ -4,8 +4,8 @@
 
 // Budget is a token bucket that allows retries up to a fraction of the requests; the zero value allows none.
 type Budget struct {
-	// Ratio is the number of retries that each request adds.
-	Ratio float64
+	// Share is the number of retries that each request adds.
+	Share float64
 	// Burst is the largest number of retries that can accumulate, and the number available at the start.
 	Burst float64
 
@@ -19,7 +19,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
-	b.available = min(b.Burst, b.available+b.Ratio)
+	b.available = min(b.Burst, b.available+b.Share)
 }
 
 // TakeRetry reports whether another retry is allowed and, if so, deducts it.
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -186,7 +186,7 @@
 	e.ledger.Origin = e.origin()
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
-		Budget: &retrier.Budget{Ratio: retryShare, Burst: retryReserve}, Journal: journalOf{e},
+		Budget: &retrier.Budget{Share: retryShare, Burst: retryReserve}, Journal: journalOf{e},
 		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.once, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
