--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -33,7 +33,7 @@
 type slidingWindow struct {
 	requests [bucketCount + 1]float64
 	retries  [bucketCount + 1]float64
-	latest   int64
+	current  int64
 }
 
 // AddRequest counts a request to a service.
@@ -41,7 +41,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
-	s.requests[s.latest%int64(len(s.requests))]++
+	s.requests[s.current%int64(len(s.requests))]++
 }
 
 // TakeRetry reports whether another retry to a service is allowed and, if so, counts it.
@@ -53,7 +53,7 @@
 	if sum(s.retries)+1 > allowed {
 		return false
 	}
-	s.retries[s.latest%int64(len(s.retries))]++
+	s.retries[s.current%int64(len(s.retries))]++
 	return true
 }
 
@@ -68,11 +68,11 @@
 		w.services[service] = s
 	}
 	current := now.UnixNano() / max(1, int64(w.Window)/bucketCount)
-	for i := max(s.latest+1, current-int64(len(s.requests))+1); i <= current; i++ {
+	for i := max(s.current+1, current-int64(len(s.requests))+1); i <= current; i++ {
 		s.requests[i%int64(len(s.requests))] = 0
 		s.retries[i%int64(len(s.retries))] = 0
 	}
-	s.latest = max(s.latest, current)
+	s.current = max(s.current, current)
 	return s
 }
 
