--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -79,12 +79,12 @@
 		s    placer.TargetInput
 		want []placer.TargetChange
 	}{
-		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c"), Needed: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
-		"too few after a zone is lost":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
-		"cheap within its share":        {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
-		"no more than the maximum":      {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), Needed: 5, Maximum: 2, SurvivingShare: 1}, nil},
-		"no zone to order in":           {placer.TargetInput{Targets: targetStates("a", "b"), Needed: 5, Maximum: 9, SurvivingShare: 1}, nil},
-		"withdraws an unneeded target":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c", "b", "a"), Needed: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
+		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c"), NeededEngines: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
+		"too few after a zone is lost":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), NeededEngines: 1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Zone: "c"}}},
+		"cheap within its share":        {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), NeededEngines: 1, Maximum: 9, SurvivingShare: 1, CheapShare: 0.5}, []placer.TargetChange{{Zone: "c", Cheap: true}}},
+		"no more than the maximum":      {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b"), NeededEngines: 5, Maximum: 2, SurvivingShare: 1}, nil},
+		"no zone to order in":           {placer.TargetInput{Targets: targetStates("a", "b"), NeededEngines: 5, Maximum: 9, SurvivingShare: 1}, nil},
+		"withdraws an unneeded target":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c", "b", "a"), NeededEngines: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
 	} {
 		quicktest.Check(t, placer.PlanTargets(tc.s), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
 	}
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -33,7 +33,7 @@
 type TargetInput struct {
 	Zones          []identifier.ZoneID
 	Targets        []TargetState
-	Needed         float64
+	NeededEngines  float64
 	Maximum        int
 	SurvivingShare float64
 	CheapShare     float64
@@ -48,7 +48,7 @@
 
 // PlanTargets returns the target orders to place now, at most one.
 func PlanTargets(in TargetInput) []TargetChange {
-	wanted := max(minimumTargets, in.Needed*in.SurvivingShare/plannedUtilization)
+	wanted := max(minimumTargets, in.NeededEngines*in.SurvivingShare/plannedUtilization)
 	remaining := surviving(in.Targets)
 	switch {
 	case float64(remaining) < math.Ceil(wanted) && countStaying(in.Targets) < in.Maximum:
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -182,7 +182,7 @@
 		}
 		e.logger.Info("Place",
 			zap.String("Order", order.Kind.String()), zap.String("Target", order.Target), zap.Bool("Cheap", order.Cheap),
-			zap.Float64("Needed", supply.Needed), zap.Int("Held", len(supply.Targets)))
+			zap.Float64("Needed", supply.NeededEngines), zap.Int("Held", len(supply.Targets)))
 		e.startOrder(order, func() error { return e.orderer.Order(ctx, order) })
 	}
 }
@@ -200,7 +200,7 @@
 	state := e.view.Load().State
 	supply := placer.TargetInput{
 		Maximum: int(scaling.Maximum), SurvivingShare: scaling.SurvivingShare, CheapShare: scaling.CheapShare,
-		Needed: placer.NeededEngines(e.roleEngines(engines), short),
+		NeededEngines: placer.NeededEngines(e.roleEngines(engines), short),
 	}
 	for _, z := range state.GetInventory().GetZones() {
 		if !e.placement.resting(newTarget(identifier.ModelID(scaling.Model), z.ID)) {
