--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -86,7 +86,7 @@
 		return
 	}
 	s.records.Go(func() { s.recordResult(key, dispatchID, answer) })
-	s.respond(v, answer)
+	s.answer(v, answer)
 }
 
 // dispatch records that this instance will send the call. It returns the id of the record if this instance may send
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -89,7 +89,7 @@
 			return
 		}
 		if err == nil {
-			s.respond(v, answer)
+			s.answer(v, answer)
 			return
 		}
 		notSent := errors.Is(err, ErrNotSent)
@@ -202,8 +202,8 @@
 	return req, nil
 }
 
-// respond accounts the call and writes the target's answer to the caller.
-func (s *Relayer) respond(v *serviceCall, a *reply) {
+// answer accounts the call and writes the target's answer to the caller.
+func (s *Relayer) answer(v *serviceCall, a *reply) {
 	if v.team != "" {
 		s.Ledger.Add(&recorder.TeamUsage{Team: string(v.team), Requests: 1})
 		s.syncUsage(v.ctx)
