--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -33,15 +33,15 @@
 		}
 		return a - b
 	})
-	remaining := capacity
+	left := capacity
 	for _, i := range order {
 		d := &demands[i]
 		if weights <= 0 {
 			d.Allowed = 0
 			continue
 		}
-		d.Allowed = min(d.Wanted, max(0, remaining)*d.Weight/weights)
-		remaining -= d.Allowed
+		d.Allowed = min(d.Wanted, max(0, left)*d.Weight/weights)
+		left -= d.Allowed
 		weights -= d.Weight
 	}
 }
