--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -63,7 +63,7 @@
 // Jitter adds a random cost of up to Maximum to each target. It spreads the choices of instances that see the same
 // loads, which are one or two gossip intervals old.
 type Jitter struct {
-	Seed    uint64
+	Seed          uint64
 	MaximumJitter time.Duration
 }
 
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -227,7 +227,7 @@
 	a.target.observeTokens(time.Now(), late, total)
 }
 
-// Finish ends a request that Choose or PlanCompletion counted; failed means that the target did not serve it.
+// Finish ends a request that Choose or Plan counted; failed means that the target did not serve it.
 func (t *Tracker) Finish(a Assignment, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
