--- a/internal/commander/entry.go
+++ b/internal/commander/entry.go
@@ -51,7 +51,7 @@
 	logger := NewLogger(zapcore.Lock(zapcore.AddSync(env.Stdout)), c.Debug).With(zap.String("Instance", string(c.settings.Instance)))
 	// kratos logs by a logger that all of the process shares.
 	log.SetLogger(kratosLogger{logger})
-	faces := coordinator.Handlers{
+	handlers := coordinator.Handlers{
 		Client: func(co *coordinator.Coordinator) http.Handler {
 			return &platform.Ingress{Server: co, Limits: co.Limits, BodyBuffers: &co.BodyBuffers, Logger: logger}
 		},
@@ -64,7 +64,7 @@
 	}
 	p, sweep := platform.New(c.settings)
 	go sweep(env.Stop)
-	if err := coordinator.New(c.settings, p, faces, c.read, logger).Run(env.Stop); err != nil {
+	if err := coordinator.New(c.settings, p, handlers, c.read, logger).Run(env.Stop); err != nil {
 		return fmt.Errorf("%w: %w", ErrUsage, err)
 	}
 	return nil
