--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -163,7 +163,7 @@
 	}
 	c.scaler = &orderkeeper.Scaler{
 		DutyLease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
-		Targets: c.registry.NotLeaving, Serving: c.registry.Available, PeakLoad: c.demand.Peak, Logger: c.logger,
+		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.stageController = &orderkeeper.StageController{
 		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.scaler.ScalingDown,
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -36,9 +36,9 @@
 	Targets   func(service identifier.ServiceID) []*registrar.Target
 	// Serving returns the targets that accept new requests at the given time.
 	Serving func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	// PeakLoad returns the highest recent demand for a service, in engines; zero if it is not known yet.
-	PeakLoad func(service identifier.ServiceID) float64
-	Logger   *zap.Logger
+	// Load returns the highest recent demand for a service, in engines; zero if it is not known yet.
+	Load   func(service identifier.ServiceID) float64
+	Logger *zap.Logger
 
 	mu sync.Mutex
 	// scalingDown holds the services whose targets are being withdrawn.
@@ -101,7 +101,7 @@
 	}
 	input := placer.FleetInput{
 		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
-		PeakLoad: s.PeakLoad(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
+		Load: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
 	}
 	for _, z := range fleet {
 		input.Zones = append(input.Zones, z)
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/orderkeeper/supplier_test.go
@@ -146,7 +146,7 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			scaler := &orderkeeper.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, PeakLoad: load, Logger: zap.NewNop()}
+			scaler := &orderkeeper.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
 			controller := &orderkeeper.StageController{
 				Holder: "h", DutyLease: fakeLease{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: scaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
--- a/internal/placer/fleet.go
+++ b/internal/placer/fleet.go
@@ -34,8 +34,8 @@
 	// Minimum and Maximum bound the regular and cheap targets of each zone together.
 	Minimum int
 	Maximum int
-	// PeakLoad is the recent peak demand in fully busy engines; zero means not known yet.
-	PeakLoad float64
+	// Load is the recent peak demand in fully busy engines; zero means not known yet.
+	Load float64
 	// CheapPriceFraction is the price of a cheap target as a fraction of the regular price; zero or less means that
 	// cheap targets are not available.
 	CheapPriceFraction float64
@@ -56,12 +56,12 @@
 	for _, z := range zones {
 		plan := ZonePlan{Zone: z.Zone, Regular: max(z.Regular, in.Minimum)}
 		switch cheap := in.CheapPriceFraction > 0 && in.CheapPriceFraction < 1; {
-		case in.PeakLoad <= 0 && cheap:
+		case in.Load <= 0 && cheap:
 			plan.Cheap = max(0, in.Maximum-max(plan.Regular, in.Maximum/2))
-		case in.PeakLoad > 0 && cheap:
+		case in.Load > 0 && cheap:
 			plan = planMixed(in, z, len(zones))
-		case in.PeakLoad > 0:
-			plan.Regular = clampTargets(in, math.Ceil(in.PeakLoad*headroom/float64(len(zones))))
+		case in.Load > 0:
+			plan.Regular = clampTargets(in, math.Ceil(in.Load*headroom/float64(len(zones))))
 		}
 		plans = append(plans, plan)
 	}
@@ -71,13 +71,13 @@
 // planMixed returns the fewest regular targets that carry the load while two zones have no cheap targets, and enough
 // cheap targets to carry it while one zone has none.
 func planMixed(in FleetInput, z ZoneFleet, zones int) ZonePlan {
-	needed := in.PeakLoad * headroom
+	needed := in.Load * headroom
 	n, cheapZones := float64(zones), float64(max(0, zones-2))
 	regular := max(1, in.Minimum)
 	for regular < in.Maximum && n*float64(regular)+cheapZones*float64(in.Maximum-regular) < needed {
 		regular++
 	}
-	total := clampTargets(in, math.Ceil(in.PeakLoad*cheapHeadroom/max(1, n-1)))
+	total := clampTargets(in, math.Ceil(in.Load*cheapHeadroom/max(1, n-1)))
 	// Regular targets are not added for a burst that cheap targets can serve: they would remain after it.
 	regular = min(regular, max(z.Regular, in.Minimum, 1))
 	plan := ZonePlan{Zone: z.Zone, Regular: max(regular, z.Regular), Cheap: max(1, total-regular)}
