--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -54,7 +54,7 @@
 // lastEntry is what is kept of the newest entry of one incarnation of a target, also after the entry is removed.
 type lastEntry struct {
 	startedAt time.Time
-	sequence  uint64
+	revision  uint64
 	leaving   bool
 	at        time.Time
 }
@@ -87,13 +87,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.lastEntry[t.ID]
-	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Revision < l.sequence || l.leaving && !t.Leaving) {
+	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Revision < l.revision || l.leaving && !t.Leaving) {
 		return false
 	}
 	if r.lastEntry == nil {
 		r.lastEntry = map[identifier.TargetID]lastEntry{}
 	}
-	r.lastEntry[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Revision, leaving: t.Leaving, at: now}
+	r.lastEntry[t.ID] = lastEntry{startedAt: t.StartedAt, revision: t.Revision, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -14,8 +14,8 @@
 	startedAt = time.Unix(900, 0)
 )
 
-func target(sequence uint64, leaving bool) registrar.Target {
-	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Revision: sequence, Leaving: leaving, Stage: registrar.Prompts}
+func target(revision uint64, leaving bool) registrar.Target {
+	return registrar.Target{ID: "t", Service: "s", StartedAt: startedAt, Revision: revision, Leaving: leaving, Stage: registrar.Prompts}
 }
 
 // TestDelayedEntriesAreIgnored guards against entries that arrive late: they must not revive a target that is leaving
