--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -60,8 +60,8 @@
 	Age time.Duration
 }
 
-// Jitter adds a random cost of up to MaximumJitter to each target. It spreads the choices of instances that see the same
-// loads, which are one or two gossip intervals old.
+// Jitter adds a random cost of up to MaximumJitter to each target. It spreads the choices of instances that see the
+// same loads, which are one or two gossip intervals old.
 type Jitter struct {
 	Seed          uint64
 	MaximumJitter time.Duration
--- a/internal/orderkeeper/orderkeeper.go
+++ b/internal/orderkeeper/orderkeeper.go
@@ -44,7 +44,7 @@
 	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
 
-// DutyLease is the lease under which orders are sent.
+// DutyLease holds the lease under which orders are sent.
 type DutyLease interface {
 	Authority() (identifier.Fence, error)
 	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -48,7 +48,8 @@
 	// prefillSlowdown is the moving average of measured over predicted prefill time; zero means no observation.
 	prefillSlowdown float64
 	// peerSendRatio is the load that all other entry instances are assumed to add, as a multiple of this one's.
-	peerSendRatio      float64
+	peerSendRatio float64
+	// late is the moving average of the share of late tokens.
 	late               float64
 	lateShareUpdatedAt time.Time
 	// batchLimit is the estimated number of answers at which tokens are still on time; zero means no observation.
