--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -60,18 +60,18 @@
 	Age time.Duration
 }
 
-// Jitter adds a random cost of up to Maximum to each target. It spreads the choices of instances that see the same
-// loads, which are one or two gossip intervals old.
+// Jitter adds a random cost of up to MaximumJitter to each target. It spreads the choices of instances that see the
+// same loads, which are one or two gossip intervals old.
 type Jitter struct {
-	Seed    uint64
-	Maximum time.Duration
+	Seed          uint64
+	MaximumJitter time.Duration
 }
 
 func (j Jitter) offset(t *registrar.Target) time.Duration {
-	if j.Maximum <= 0 {
+	if j.MaximumJitter <= 0 {
 		return 0
 	}
-	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.Maximum))
+	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.MaximumJitter))
 }
 
 // Prompt describes a prompt for the choice of its target.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -106,8 +106,8 @@
 	windowReporter  *reporter.WindowReporter
 	forward         *forwarder.Forwarder
 
-	// Bodies limits the memory that request bodies use.
-	Bodies forwarder.BodyBuffers
+	// BodyBuffers limits the memory that request bodies use.
+	BodyBuffers forwarder.BodyBuffers
 	// Metrics serves all metrics in the Prometheus text format.
 	Metrics http.Handler
 	metrics tally.Scope
@@ -130,7 +130,7 @@
 		ID: string(settings.Instance), Incarnation: uuid.NewString()[:incarnationDigits], Zone: string(settings.Zone),
 		ClientAddress: settings.Listen, PeerAddress: settings.PeerListen, Capacity: capacity(settings.Bounds),
 	}
-	c.Bodies.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyMemoryDivisor
+	c.BodyBuffers.MaximumBytes = settings.Bounds.MemoryMegabytes << 20 / bodyMemoryDivisor
 	c.wireMirrors()
 	c.wirePeers()
 	c.wireDuties()
@@ -184,7 +184,7 @@
 	c.forward = &forwarder.Forwarder{
 		Zone: identifier.ZoneID(c.self.Zone), Table: c.table.Load, TableAge: c.tableAge,
 		Targets: c.registry.Available, Expected: c.expected, Instances: c.instanceCount,
-		States: &c.targetStates, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
+		TargetStates: &c.targetStates, Chooser: &chooser.Chooser{Policy: c.settings.Load().Routing.Policy}, MaximumJitter: c.jitter,
 		Backend: c.platform.Backend, Budget: c.retryBudget,
 		CountRequest: c.countRequest, RecordDemand: c.demand.Add, Logger: c.logger, Metrics: c.metrics,
 	}
@@ -198,7 +198,7 @@
 		return 0, false
 	}
 	soonest, found := time.Duration(0), false
-	for _, o := range c.registry.PendingOrders(now) {
+	for _, o := range c.registry.Orders(now) {
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
@@ -325,11 +325,11 @@
 		return
 	}
 	if !c.registry.Put(t, time.Now()) {
-		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
+		c.logger.Info("older target entry ignored", zap.String("Target", r.Key), zap.Uint64("Beat", t.Revision), zap.Uint64("Offset", uint64(r.Offset)))
 		return
 	}
 	c.logger.Info("target", zap.String("Target", r.Key), zap.String("Service", string(t.Service)), zap.String("Zone", string(t.Zone)),
-		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Sequence), zap.Uint64("Offset", uint64(r.Offset)))
+		zap.Stringer("Stage", t.Stage), zap.Bool("Leaving", t.Leaving), zap.Bool("Cheap", t.Cheap), zap.Uint64("Beat", t.Revision), zap.Uint64("Offset", uint64(r.Offset)))
 	c.peers.SendNow()
 }
 
--- a/internal/forwarder/port.go
+++ b/internal/forwarder/backend.go
@@ -53,16 +53,16 @@
 	Team   identifier.TeamID
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Priority orders the requests in the target's queue; 0 is the highest.
-	Priority int
+	// EffectivePriority orders the requests in the target's queue; 0 is the highest.
+	EffectivePriority int
 	// Source is the prompt's KV cache, or nil without prefill.
 	Source *KVHandle
 	// LastEvent is the id of the event after which the stream resumes, or empty.
 	LastEvent string
 	// Connections is the maximum number of connections from this instance to the target; zero means no limit.
 	Connections int
-	// Freshness is the maximum idle time of a connection that may be reused; zero requires a new connection.
-	Freshness time.Duration
+	// MaximumIdle is the maximum idle time of a connection that may be reused; zero requires a new connection.
+	MaximumIdle time.Duration
 }
 
 // Response is a target's HTTP response; Body must be closed.
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -54,14 +54,14 @@
 
 // Forwarder handles client requests; all fields must be set.
 type Forwarder struct {
-	Zone     identifier.ZoneID
-	Table    func() *matcher.Table
-	TableAge func() time.Duration
-	Targets  func(service identifier.ServiceID, now time.Time) []*registrar.Target
-	States   *chooser.TargetStates
-	Chooser  *chooser.Chooser
-	Backend  Backend
-	Budget   Budget
+	Zone         identifier.ZoneID
+	Table        func() *matcher.Table
+	TableAge     func() time.Duration
+	Targets      func(service identifier.ServiceID, now time.Time) []*registrar.Target
+	TargetStates *chooser.TargetStates
+	Chooser      *chooser.Chooser
+	Backend      Backend
+	Budget       Budget
 	// Instances returns how many instances share the targets' connections, including this one.
 	Instances func() int
 	// Expected returns the time until a target that is changing to a stage is expected there, or false if there is none.
@@ -218,8 +218,8 @@
 		freshness = repeatableFreshness
 	}
 	return &Attempt{
-		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), Priority: matcher.EffectivePriority(j.route, j.team),
-		Source: source, LastEvent: lastEvent, Freshness: freshness, Connections: j.connectionShare(),
+		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), EffectivePriority: matcher.EffectivePriority(j.route, j.team),
+		Source: source, LastEvent: lastEvent, MaximumIdle: freshness, Connections: j.connectionShare(),
 	}
 }
 
@@ -238,12 +238,12 @@
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
 		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failedTargets, t.ID)
 	})
-	return j.f.States.Candidates(targets, parts, time.Now())
+	return j.f.TargetStates.Candidates(targets, parts, time.Now())
 }
 
 // chooseAnswerTarget chooses among the targets of the decode stage and those without a stage.
 func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
-	list := j.candidates(nil, registrar.DecodeStage, registrar.AnyStage)
+	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
 	if j.route.HasPrompts {
 		return j.f.Chooser.Answer(j.f.Zone, j.jitter(), list)
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -101,10 +101,10 @@
 	if route.Attempts == 0 {
 		route.Attempts = 2
 	}
-	route.Services = []matcher.WeightedService{{Service: "s", Weight: 1}}
+	route.WeightedServices = []matcher.WeightedService{{Service: "s", Weight: 1}}
 	table := matcher.New(matcher.Configuration{Version: 1, Routes: []matcher.Route{route}, Teams: []matcher.Team{{ID: "team", Keys: []string{"key"}}},
 		Services: []matcher.Service{{ID: "s", ConnectionLimit: 110}}})
-	targets := []*registrar.Target{{ID: "p1", Stage: registrar.PrefillStage}, {ID: "p2", Stage: registrar.PrefillStage}, {ID: "a1", Stage: registrar.DecodeStage}, {ID: "a2", Stage: registrar.DecodeStage}}
+	targets := []*registrar.Target{{ID: "p1", Stage: registrar.Prompts}, {ID: "p2", Stage: registrar.Prompts}, {ID: "a1", Stage: registrar.Answers}, {ID: "a2", Stage: registrar.Answers}}
 	if route.ID == "changing" {
 		targets = targets[:2]
 	}
@@ -118,7 +118,7 @@
 		Targets: func(identifier.ServiceID, time.Time) []*registrar.Target {
 			return append([]*registrar.Target(nil), targets...)
 		},
-		States: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
+		TargetStates: &chooser.TargetStates{}, Chooser: &chooser.Chooser{}, Backend: b, Budget: &budget{retries},
 		RecordDemand:  func(identifier.ServiceID, identifier.Tokens, time.Time) {},
 		MaximumJitter: func() time.Duration { return 0 }, Instances: func() int { return 5 },
 		Expected: func(identifier.ServiceID, registrar.Stage, time.Time) (time.Duration, bool) {
@@ -253,7 +253,7 @@
 	b = &backend{runs: []step{{status: 200, body: "ok"}}}
 	res = serve(b, matcher.Route{Kind: matcher.Safe, HasPrompts: true}, &forwarder.Call{}, 0)
 	quicktest.Check(t, res.Body.String(), quicktest.Equals, "ok")
-	quicktest.Check(t, b.received[0].Target.Stage, quicktest.Equals, registrar.DecodeStage)
+	quicktest.Check(t, b.received[0].Target.Stage, quicktest.Equals, registrar.Answers)
 }
 
 func TestLongBodiesAreSentOnce(t *testing.T) {
--- a/internal/orderkeeper/supplier.go
+++ b/internal/orderkeeper/supplier.go
@@ -101,7 +101,7 @@
 	}
 	input := placer.FleetInput{
 		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
-		PeakLoad: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
+		Load: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
 	}
 	for _, z := range fleet {
 		input.Zones = append(input.Zones, z)
@@ -175,7 +175,7 @@
 func (s *Scaler) decoding(service identifier.ServiceID) map[identifier.ZoneID]int {
 	zones := map[identifier.ZoneID]int{}
 	for _, t := range s.Serving(service, time.Now()) {
-		if t.Stage == registrar.DecodeStage {
+		if t.Stage == registrar.Answers {
 			zones[t.Zone]++
 		}
 	}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -18,10 +18,10 @@
 const (
 	// AnyStage is the stage of plain targets.
 	AnyStage Stage = iota
-	// PrefillStage computes the KV cache of prompts for other targets.
-	PrefillStage
-	// DecodeStage generates answer tokens.
-	DecodeStage
+	// Prompts targets prefill: they compute the KV cache of prompts for other targets.
+	Prompts
+	// Answers targets decode: they generate answer tokens.
+	Answers
 )
 
 // String returns the stage's name in logs.
@@ -42,8 +42,8 @@
 	WarmUpRemaining time.Duration
 	// StartedAt is its start time; a different one means a new incarnation, whose cache is empty.
 	StartedAt time.Time
-	// Sequence numbers the target's entries since its start.
-	Sequence uint64
+	// Revision numbers the target's entries since its start.
+	Revision uint64
 	// Cheap targets may be reclaimed at short notice.
 	Cheap bool
 }
@@ -54,7 +54,7 @@
 // lastEntry is what is kept of the newest entry of one incarnation of a target, also after the entry is removed.
 type lastEntry struct {
 	startedAt time.Time
-	sequence  uint64
+	revision  uint64
 	leaving   bool
 	at        time.Time
 }
@@ -73,12 +73,12 @@
 	// StoreRestoredAt returns the end of the store's last outage, or the zero time if there was none.
 	StoreRestoredAt func() time.Time
 
-	mu     sync.Mutex
-	byID   map[identifier.TargetID]*Target
-	lapsed map[identifier.TargetID]time.Time
-	orders map[identifier.TargetID]pendingOrder
-	last   map[identifier.TargetID]lastEntry
-	list   atomic.Pointer[[]*Target]
+	mu        sync.Mutex
+	byID      map[identifier.TargetID]*Target
+	lapsed    map[identifier.TargetID]time.Time
+	orders    map[identifier.TargetID]pendingOrder
+	lastEntry map[identifier.TargetID]lastEntry
+	list      atomic.Pointer[[]*Target]
 }
 
 // Put adds or replaces a target, unless the entry is older than the newest one of the same incarnation, or would revoke
@@ -86,14 +86,14 @@
 func (r *Registrar) Put(t Target, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := r.last[t.ID]
-	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Sequence < l.sequence || l.leaving && !t.Leaving) {
+	l := r.lastEntry[t.ID]
+	if same := l.startedAt.Equal(t.StartedAt) && !l.at.IsZero(); same && (t.Revision < l.revision || l.leaving && !t.Leaving) {
 		return false
 	}
-	if r.last == nil {
-		r.last = map[identifier.TargetID]lastEntry{}
+	if r.lastEntry == nil {
+		r.lastEntry = map[identifier.TargetID]lastEntry{}
 	}
-	r.last[t.ID] = lastEntry{startedAt: t.StartedAt, sequence: t.Sequence, leaving: t.Leaving, at: now}
+	r.lastEntry[t.ID] = lastEntry{startedAt: t.StartedAt, revision: t.Revision, leaving: t.Leaving, at: now}
 	if r.byID == nil {
 		r.byID = map[identifier.TargetID]*Target{}
 	}
@@ -130,9 +130,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.orders, func(_ identifier.TargetID, o pendingOrder) bool { return now.After(o.until) })
-	for id, l := range r.last {
+	for id, l := range r.lastEntry {
 		if r.byID[id] == nil && now.Sub(l.at) > lastEntryLifetime {
-			delete(r.last, id)
+			delete(r.lastEntry, id)
 		}
 	}
 	for id, until := range r.lapsed {
@@ -183,8 +183,8 @@
 	Remaining time.Duration
 }
 
-// PendingOrders returns the stage changes that are not complete.
-func (r *Registrar) PendingOrders(now time.Time) []StageOrder {
+// Orders returns the stage changes that are not complete.
+func (r *Registrar) Orders(now time.Time) []StageOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []StageOrder
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -134,7 +134,7 @@
 // retryRefusal returns the refusal if a failed request may not be retried; otherwise it takes a retry from the budget
 // and returns nil.
 func (s *Relayer) retryRefusal(h *chat, attempt int) *answerer.Refusal {
-	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, Return: shortRetryAfter}
+	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, RetryAfter: shortRetryAfter}
 	switch {
 	case h.ctx.Err() != nil:
 		refusal.Status, refusal.Code = http.StatusGatewayTimeout, answerer.CodeTimeout
@@ -164,16 +164,16 @@
 		candidates = append(candidates, candidateLogEntry{ID: id, PredictedMilliseconds: score.Predicted.Milliseconds(), CachedTokens: score.Cached})
 	}
 	name := tracker.ModelGroup(identifier.ModelID(h.request.Model))
-	plan, ok := s.Tracker.PlanCompletion(name, req, onScore)
+	plan, ok := s.Tracker.Plan(name, req, onScore)
 	if !ok && len(h.tried) > 0 {
 		// Every usable target has failed once; allow them again, as they may still resume the stream.
 		clear(h.tried)
-		plan, ok = s.Tracker.PlanCompletion(name, req, onScore)
+		plan, ok = s.Tracker.Plan(name, req, onScore)
 	}
 	if !ok {
 		return plan, &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: runBefore(attempt),
-			Message: "no target can serve the request now", Return: shortRetryAfter,
+			Message: "no target can serve the request now", RetryAfter: shortRetryAfter,
 		}
 	}
 	if attempt == 1 {
@@ -230,7 +230,7 @@
 	}
 	return &answerer.Refusal{
 		Status: http.StatusTooManyRequests, Code: code, Run: answerer.NotRun,
-		Message: "the promised latency cannot be met now: " + decision.Reason, Return: decision.RetryAfter,
+		Message: "the promised latency cannot be met now: " + decision.Reason, RetryAfter: decision.RetryAfter,
 	}
 }
 
@@ -294,7 +294,7 @@
 	h.accountedTokens = h.delivered
 	h.accountedAt = time.Now()
 	if h.plan.Answer.ID != "" {
-		s.Tracker.ObserveTokens(h.plan.Answer, h.lateTokens, h.tokens)
+		s.Tracker.Tokens(h.plan.Answer, h.lateTokens, h.tokens)
 		h.lateTokens, h.tokens = 0, 0
 	}
 }
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -86,7 +86,7 @@
 		return
 	}
 	s.records.Go(func() { s.recordResult(key, dispatchID, answer) })
-	s.respond(v, answer)
+	s.answer(v, answer)
 }
 
 // dispatch records that this instance will send the call. It returns the id of the record if this instance may send
@@ -181,20 +181,20 @@
 func journalUnavailable() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalUnavailable, Run: answerer.NotRun,
-		Message: "the call cannot be recorded now, so it was not sent", Return: journalRetryAfter,
+		Message: "the call cannot be recorded now, so it was not sent", RetryAfter: journalRetryAfter,
 	}
 }
 
 func inProgress() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeInProgress, Run: answerer.Unknown,
-		Message: "a call with this idempotency key is in progress", Return: shortRetryAfter,
+		Message: "a call with this idempotency key is in progress", RetryAfter: shortRetryAfter,
 	}
 }
 
 func outcomeUnknown() *answerer.Refusal {
 	return &answerer.Refusal{
 		Status: http.StatusConflict, Code: answerer.CodeOutcomeUnknown, Run: answerer.Unknown,
-		Message: "a call with this idempotency key was sent and its outcome is unknown", Return: shortRetryAfter,
+		Message: "a call with this idempotency key was sent and its outcome is unknown", RetryAfter: shortRetryAfter,
 	}
 }
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -89,7 +89,7 @@
 			return
 		}
 		if err == nil {
-			s.respond(v, answer)
+			s.answer(v, answer)
 			return
 		}
 		notSent := errors.Is(err, ErrNotSent)
@@ -105,7 +105,7 @@
 }
 
 func targetFailed(run answerer.Run) *answerer.Refusal {
-	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", Return: shortRetryAfter}
+	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", RetryAfter: shortRetryAfter}
 }
 
 // routeAndSend chooses a target and sends the call to it.
@@ -139,7 +139,7 @@
 		}
 		return assignment, &answerer.Refusal{
 			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: run,
-			Message: "no target can serve the call now", Return: shortRetryAfter,
+			Message: "no target can serve the call now", RetryAfter: shortRetryAfter,
 		}
 	}
 	v.logger.Info("Route",
@@ -202,8 +202,8 @@
 	return req, nil
 }
 
-// respond accounts the call and writes the target's answer to the caller.
-func (s *Relayer) respond(v *serviceCall, a *reply) {
+// answer accounts the call and writes the target's answer to the caller.
+func (s *Relayer) answer(v *serviceCall, a *reply) {
 	if v.team != "" {
 		s.Ledger.Add(&recorder.TeamUsage{Team: string(v.team), Requests: 1})
 		s.syncUsage(v.ctx)
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -189,7 +189,7 @@
 	e.ledger.Origin = e.origin()
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
-		Budget: &retrier.Budget{Ratio: retryRatio, Burst: retryBurst}, Journal: relayerJournal{e},
+		Budget: &retrier.Budget{Share: retryRatio, Burst: retryBurst}, Journal: relayerJournal{e},
 		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.noKeepAliveHTTP, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -186,7 +186,7 @@
 		}
 		e.logger.Info("Place",
 			zap.String("Order", order.Kind.String()), zap.String("Target", order.Target), zap.Bool("Cheap", order.Cheap),
-			zap.Float64("Needed", targetInput.Needed), zap.Int("Held", len(targetInput.Targets)))
+			zap.Float64("Needed", targetInput.NeededEngines), zap.Int("Held", len(targetInput.Targets)))
 		e.startOrder(order, func() error { return e.orderer.Order(ctx, order) })
 	}
 }
@@ -204,7 +204,7 @@
 	state := e.view.Load().State
 	targetInput := placer.TargetInput{
 		Maximum: int(scaling.Maximum), SurvivingShare: scaling.SurvivingShare, CheapShare: scaling.CheapShare,
-		Needed: placer.NeededEngines(e.roleEngines(engines), short),
+		NeededEngines: placer.NeededEngines(e.roleEngines(engines), short),
 	}
 	for _, z := range state.GetInventory().GetZones() {
 		if !e.placement.inBackoff(newTargetID(identifier.ModelID(scaling.Model), z.ID)) {
