--- a/internal/imitator/control.go
+++ b/internal/imitator/control.go
@@ -77,9 +77,9 @@
 	if e.crashed {
 		abort(w)
 	}
-	e.verdict.Orders++
+	e.counts.Orders++
 	if o.Fence < e.fence {
-		e.verdict.StaleOrders++
+		e.counts.StaleOrders++
 		if e.ChecksFence {
 			http.Error(w, "stale fencing number", http.StatusConflict)
 			return
@@ -91,7 +91,7 @@
 		return
 	}
 	if e.conflicts(o) {
-		e.verdict.ConflictingOrders++
+		e.counts.ConflictingOrders++
 	}
 	if o.OrderID != e.lastOrder.OrderID {
 		e.lastOrder = o
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -41,12 +41,12 @@
 	leaving      bool
 	crashed      bool
 	crash        chan struct{}
-	verdict      EngineVerdict
+	counts       EngineCounts
 	slots        chan struct{}
 }
 
-// EngineVerdict counts what the engine saw that the promises rule out, and its work.
-type EngineVerdict struct {
+// EngineCounts counts what the engine saw that the promises rule out, and its work.
+type EngineCounts struct {
 	Started           int
 	Finished          int
 	Cut               int
@@ -79,15 +79,15 @@
 	mux.HandleFunc("POST /control/leave", e.leave)
 	mux.HandleFunc("POST /fault/crash", func(w http.ResponseWriter, _ *http.Request) { e.Crash(); writeJSON(w, struct{}{}) })
 	mux.HandleFunc("POST /fault/restart", func(w http.ResponseWriter, _ *http.Request) { e.Restart(); writeJSON(w, struct{}{}) })
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Verdict()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	return mux
 }
 
-// Verdict returns what was counted so far.
-func (e *Engine) Verdict() EngineVerdict {
+// Counts returns what was counted so far.
+func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.verdict
+	return e.counts
 }
 
 // Crash cuts all answers and refuses work until Restart.
@@ -132,12 +132,12 @@
 		http.Error(w, "role change in progress", http.StatusServiceUnavailable)
 		return nil, false
 	}
-	e.verdict.Started++
+	e.counts.Started++
 	if e.leaving {
-		e.verdict.StartedLeaving++
+		e.counts.StartedLeaving++
 	}
 	if r.Header.Get("Authorization") != "" {
-		e.verdict.KeysSeen++
+		e.counts.KeysSeen++
 	}
 	if e.slots == nil {
 		e.slots = make(chan struct{}, e.Slots)
@@ -175,10 +175,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if finished {
-		e.verdict.Finished++
+		e.counts.Finished++
 		return
 	}
-	e.verdict.Cut++
+	e.counts.Cut++
 }
 
 func (e *Engine) enter(r *http.Request, crash <-chan struct{}) bool {
@@ -220,8 +220,8 @@
 		cached = tokens
 	}
 	e.noteCached(pieces)
-	e.verdict.CachedTokens += cached
-	e.verdict.PrefilledTokens += tokens - cached
+	e.counts.CachedTokens += cached
+	e.counts.PrefilledTokens += tokens - cached
 	now := time.Now()
 	if e.prefillFree.Before(now) {
 		e.prefillFree = now
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -21,8 +21,8 @@
 	DelayMilliseconds int64
 }
 
-// PlatformVerdict counts what the platform saw that the promises rule out.
-type PlatformVerdict struct {
+// PlatformCounts counts what the platform saw that the promises rule out.
+type PlatformCounts struct {
 	Appends           int
 	Records           int
 	Reports           int
@@ -45,7 +45,7 @@
 	mu         sync.Mutex
 	streams    map[string]*stream
 	faults     PlatformFaults
-	verdict    PlatformVerdict
+	counts     PlatformCounts
 	reports    map[uint64]provider.Report
 	reportedAt time.Time
 	orders     map[string]provider.TargetOrder
@@ -74,7 +74,7 @@
 	mux.HandleFunc("POST /reports", p.faulty(p.report))
 	mux.HandleFunc("POST /fault", p.setFaults)
 	mux.HandleFunc("POST /instances", p.setInstances)
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Verdict()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
 	mux.HandleFunc("GET /reports", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Reports()) })
 	return mux
 }
@@ -95,11 +95,11 @@
 	p.listedAt = time.Now().Add(p.ListLag)
 }
 
-// Verdict returns what was counted so far.
-func (p *Platform) Verdict() PlatformVerdict {
+// Counts returns what was counted so far.
+func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.verdict
+	return p.counts
 }
 
 // Reports returns the accepted usage windows, oldest first.
@@ -161,8 +161,8 @@
 	s := p.stream(r.PathValue("stream"))
 	offset := s.end()
 	s.records = append(s.records, in.Records...)
-	p.verdict.Appends++
-	p.verdict.Records += len(in.Records)
+	p.counts.Appends++
+	p.counts.Records += len(in.Records)
 	if p.Retention > 0 && len(s.records) > 2*p.Retention {
 		s.truncate(p.Retention)
 	}
@@ -241,9 +241,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.verdict.TargetOrders++
+	p.counts.TargetOrders++
 	if !p.raiseFence(0, o.Fence) {
-		p.verdict.StaleOrders++
+		p.counts.StaleOrders++
 		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
@@ -253,7 +253,7 @@
 	known, ok := p.orders[o.OrderID]
 	o.Sender, o.Fence = "", 0
 	if ok && known != o {
-		p.verdict.ConflictingOrders++
+		p.counts.ConflictingOrders++
 		http.Error(w, "order differs from the first under its id", http.StatusConflict)
 		return
 	}
@@ -306,9 +306,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.verdict.Reports++
+	p.counts.Reports++
 	if !p.raiseFence(1, report.Fence) {
-		p.verdict.StaleReports++
+		p.counts.StaleReports++
 		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
@@ -317,7 +317,7 @@
 	}
 	known, ok := p.reports[report.Window]
 	if ok && !slices.Equal(known.Teams, report.Teams) {
-		p.verdict.WrongReports++
+		p.counts.WrongReports++
 		http.Error(w, fmt.Sprintf("window %d was reported with other figures", report.Window), http.StatusConflict)
 		return
 	}
@@ -332,7 +332,7 @@
 func (p *Platform) noteLate() {
 	now := time.Now()
 	if p.ReportTimeout > 0 && !p.reportedAt.IsZero() && now.Sub(p.reportedAt) > p.ReportTimeout {
-		p.verdict.LateReports++
+		p.counts.LateReports++
 	}
 	p.reportedAt = now
 }
--- a/internal/imitator/service.go
+++ b/internal/imitator/service.go
@@ -24,8 +24,8 @@
 	Echo      string
 }
 
-// ServiceVerdict counts what the service saw.
-type ServiceVerdict struct {
+// ServiceCounts counts what the service saw.
+type ServiceCounts struct {
 	Executions map[string]int
 	KeysSeen   int
 }
@@ -33,16 +33,16 @@
 // Handler returns the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Verdict()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
 	mux.HandleFunc("/", s.execute)
 	return mux
 }
 
-// Verdict returns what was counted so far.
-func (s *Service) Verdict() ServiceVerdict {
+// Counts returns what was counted so far.
+func (s *Service) Counts() ServiceCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ServiceVerdict{Executions: maps.Clone(s.executions), KeysSeen: s.keysSeen}
+	return ServiceCounts{Executions: maps.Clone(s.executions), KeysSeen: s.keysSeen}
 }
 
 func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -107,7 +107,7 @@
 // lateOrder runs a first holder that records an order and pauses before sending it, then a second holder that takes over
 // and, if inherit is set, completes the open order, and finally lets the first holder send its order. It returns the
 // engine's statistics.
-func lateOrder(t *testing.T, engineChecks, declaredChecks, inherit bool) imitator.EngineVerdict {
+func lateOrder(t *testing.T, engineChecks, declaredChecks, inherit bool) imitator.EngineCounts {
 	f := newFixture(t, engineChecks)
 	f.claim(t, "first", 0)
 	paused := &authority{fence: 1, gate: make(chan struct{})}
@@ -131,7 +131,7 @@
 	quicktest.Check(t, err == nil || errors.Is(err, orderer.ErrIntentVoid), quicktest.IsTrue, quicktest.Commentf("%v", err))
 	close(paused.gate)
 	<-done
-	return f.engine.Verdict()
+	return f.engine.Counts()
 }
 
 func TestLateOrderOfADeposedHolder(t *testing.T) {
@@ -160,12 +160,12 @@
 		f.engine.Handler().ServeHTTP(httptest.NewRecorder(), req)
 		finished <- time.Now()
 	}()
-	for f.engine.Verdict().Started == 0 {
+	for f.engine.Counts().Started == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	quicktest.Check(t, o.Order(context.Background(), assign(recorder.Role_Decode, true)), quicktest.IsNil)
 	quicktest.Check(t, time.Now().After(<-finished), quicktest.IsTrue)
-	quicktest.Check(t, f.engine.Verdict().Cut, quicktest.Equals, 0)
+	quicktest.Check(t, f.engine.Counts().Cut, quicktest.Equals, 0)
 	quicktest.Check(t, o.OpenOrders(), quicktest.HasLen, 0)
 }
 
@@ -211,5 +211,5 @@
 	quicktest.Check(t, second.Fold.Acquired(), quicktest.HasLen, 1)
 	quicktest.Check(t, platform.ids, quicktest.HasLen, 1)
 	quicktest.Check(t, platform.platform.Pool, quicktest.HasLen, 1)
-	quicktest.Check(t, platform.platform.Verdict().ConflictingOrders, quicktest.Equals, 0)
+	quicktest.Check(t, platform.platform.Counts().ConflictingOrders, quicktest.Equals, 0)
 }
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -29,7 +29,7 @@
 	}
 	data, _ := json.Marshal(r)
 	platform.Handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/reports", bytes.NewReader(data)))
-	return platform.Verdict().WrongReports
+	return platform.Counts().WrongReports
 }
 
 // TestTwoReportersSendTheSameFigures lets two processes that have read the log up to different offsets report one window.
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -103,7 +103,7 @@
 		c.Check(status, quicktest.Equals, http.StatusOK)
 		status, _, _ = s.settle("entry-c", "secret", "tab-1")
 		c.Check(status, quicktest.Equals, http.StatusOK)
-		c.Check(s.service.Verdict().Executions["tab-1"], quicktest.Equals, 1)
+		c.Check(s.service.Counts().Executions["tab-1"], quicktest.Equals, 1)
 	})
 }
 
--- a/internal/runner/leaving_test.go
+++ b/internal/runner/leaving_test.go
@@ -88,17 +88,17 @@
 		s.grant("entry-a", "k", "tabline", "secret")
 		answers := s.stream("entry-a", 20, 200)
 		time.Sleep(500 * time.Millisecond)
-		before := s.engines["engine-a"].Verdict().Started
+		before := s.engines["engine-a"].Counts().Started
 		c.Check(before > 0, quicktest.IsTrue)
 		s.engines["engine-a"].Leave()
 		time.Sleep(2 * time.Second)
-		grace := s.engines["engine-a"].Verdict().Started
+		grace := s.engines["engine-a"].Counts().Started
 		more := s.stream("entry-b", 20, 20)
 		for range 20 {
 			c.Check((<-answers).whole, quicktest.IsTrue)
 			c.Check((<-more).whole, quicktest.IsTrue)
 		}
-		v := s.engines["engine-a"].Verdict()
+		v := s.engines["engine-a"].Counts()
 		c.Check(v.Started, quicktest.Equals, grace, quicktest.Commentf("new work after two seconds of notice"))
 		c.Check(v.Cut, quicktest.Equals, 0)
 	})
@@ -127,15 +127,15 @@
 		for range 20 {
 			<-listed
 		}
-		quicktest.Check(t, s.engines["engine-a"].Verdict().Started > 0, quicktest.IsTrue, quicktest.Commentf("until it is listed it gets work"))
+		quicktest.Check(t, s.engines["engine-a"].Counts().Started > 0, quicktest.IsTrue, quicktest.Commentf("until it is listed it gets work"))
 		s.platform.SetInstances([]provider.Instance{{ID: "entry-a"}, {ID: "entry-b"}, {ID: "engine-a", Leaving: true}, {ID: "engine-b"}, {ID: "engine-c"}})
 		time.Sleep(3 * time.Second)
-		before := s.engines["engine-a"].Verdict().Started
+		before := s.engines["engine-a"].Counts().Started
 		answers := s.stream("entry-b", 20, 10)
 		for range 20 {
 			quicktest.Check(t, (<-answers).whole, quicktest.IsTrue)
 		}
-		quicktest.Check(t, s.engines["engine-a"].Verdict().Started, quicktest.Equals, before)
+		quicktest.Check(t, s.engines["engine-a"].Counts().Started, quicktest.Equals, before)
 	})
 }
 
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -34,7 +34,7 @@
 			s.kill("entry-b")
 			before := <-first
 			_, again, _ := s.settle("entry-c", "secret", key)
-			n := s.service.Verdict().Executions[key]
+			n := s.service.Counts().Executions[key]
 			worst = max(worst, n)
 			said := before == answerer.NotRun && again == answerer.NotRun
 			quicktest.Check(t, said && n > 0, quicktest.IsFalse, quicktest.Commentf("killed after %s: ran %d times and was said not to have run", after, n))
@@ -71,7 +71,7 @@
 			}
 		}
 		c.Check(ok >= 1, quicktest.IsTrue)
-		c.Check(s.service.Verdict().Executions["tab-7"], quicktest.Equals, 1)
+		c.Check(s.service.Counts().Executions["tab-7"], quicktest.Equals, 1)
 		time.Sleep(time.Second)
 		status, _, body := s.settle("entry-b", "secret", "tab-7")
 		c.Check(status, quicktest.Equals, http.StatusOK)
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -308,14 +308,14 @@
 	k.judgeUsage(c)
 	orders := 0
 	for _, e := range k.engines {
-		orders += e.Verdict().Orders
+		orders += e.Counts().Orders
 	}
-	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.ran), k.platform.Verdict())
+	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.ran), k.platform.Counts())
 	c.Check(k.finished > 20, quicktest.IsTrue, quicktest.Commentf("%d answers finished", k.finished))
 }
 
 func (k *soak) judgeTargets(c *quicktest.C) {
-	service := k.service.Verdict()
+	service := k.service.Counts()
 	for _, key := range slices.Sorted(maps.Keys(k.ran)) {
 		n := service.Executions[key]
 		c.Check(n <= 1, quicktest.IsTrue, quicktest.Commentf("%s ran %d times", key, n))
@@ -325,14 +325,14 @@
 	}
 	c.Check(service.KeysSeen, quicktest.Equals, 0)
 	for name, e := range k.engines {
-		v := e.Verdict()
+		v := e.Counts()
 		c.Check(v.KeysSeen, quicktest.Equals, 0, quicktest.Commentf(name))
 		c.Check(v.ConflictingOrders, quicktest.Equals, 0, quicktest.Commentf(name))
 	}
 }
 
 func (k *soak) judgePlatform(c *quicktest.C) {
-	v := k.platform.Verdict()
+	v := k.platform.Counts()
 	c.Check(v.WrongReports, quicktest.Equals, 0)
 	c.Check(v.ConflictingOrders, quicktest.Equals, 0)
 }
@@ -341,7 +341,7 @@
 func (k *soak) judgeUsage(c *quicktest.C) {
 	sum, _ := k.reported()
 	settled := 0
-	for _, n := range k.service.Verdict().Executions {
+	for _, n := range k.service.Counts().Executions {
 		settled += n
 	}
 	low := int64(k.finished)
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -63,7 +63,7 @@
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{})
 		time.Sleep(30 * time.Second)
-		v := s.platform.Verdict()
+		v := s.platform.Counts()
 		c.Check(v.WrongReports, quicktest.Equals, 0)
 		sum, windows := s.reported()
 		c.Check(windows > 5, quicktest.IsTrue)
