--- a/internal/holder/holder_test.go
+++ b/internal/holder/holder_test.go
@@ -55,7 +55,7 @@
 		for step := range 1200 {
 			cut := fmt.Sprint("host-", step/300%3)
 			if step%300 == 100 {
-				network.Cut(cut, "platform")
+				network.Partition(cut, "platform")
 			}
 			if step%300 == 250 {
 				network.Heal(cut, "platform")
--- a/internal/imitator/network.go
+++ b/internal/imitator/network.go
@@ -12,21 +12,21 @@
 
 const dialTimeout = time.Second
 
-// errCut is what a connection returns whose host was cut off or killed.
-var errCut = errors.New("connection cut")
+// errReset is what a connection returns whose host was cut off or killed.
+var errReset = errors.New("connection reset")
 
 // Network is a stand-in for the network between hosts in one process; the zero value is ready.
 //
-// CutOnPause names listeners whose connections a pause cuts instead of holding their bytes back: the
+// ResetOnPause names listeners whose connections a pause resets instead of holding their bytes back: the
 // multiplexer keeps a mutex while it writes, and virtual time does not pass while one waits for it.
 type Network struct {
-	CutOnPause func(addr string) bool
+	ResetOnPause func(addr string) bool
 
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	conns     map[*memoryConn]bool
-	cuts      map[[2]string]bool
-	paused    map[string]chan struct{}
+	mu         sync.Mutex
+	listeners  map[string]*memoryListener
+	conns      map[*memoryConn]bool
+	partitions map[[2]string]bool
+	paused     map[string]chan struct{}
 }
 
 // Host is the network as one host sees it.
@@ -38,14 +38,14 @@
 // Host returns the network as the named host sees it.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// Cut drops all connections between two hosts and allows no new ones until Heal.
-func (n *Network) Cut(a, b string) {
+// Partition drops all connections between two hosts and allows no new ones until Heal.
+func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts == nil {
-		n.cuts = map[[2]string]bool{}
+	if n.partitions == nil {
+		n.partitions = map[[2]string]bool{}
 	}
-	n.cuts[pairOf(a, b)] = true
+	n.partitions[pairOf(a, b)] = true
 	n.drop(func(c *memoryConn) bool { return pairOf(c.local, c.remote) == pairOf(a, b) })
 }
 
@@ -53,7 +53,7 @@
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, pairOf(a, b))
+	delete(n.partitions, pairOf(a, b))
 }
 
 // Kill drops all connections and listeners of a host.
@@ -78,7 +78,7 @@
 	if n.paused[name] == nil {
 		n.paused[name] = make(chan struct{})
 	}
-	n.drop(func(c *memoryConn) bool { return c.cutOnPause && (c.local == name || c.remote == name) })
+	n.drop(func(c *memoryConn) bool { return c.resetOnPause && (c.local == name || c.remote == name) })
 }
 
 // Resume ends a pause.
@@ -94,7 +94,7 @@
 func (n *Network) drop(matches func(*memoryConn) bool) {
 	for c := range n.conns {
 		if matches(c) {
-			c.cut()
+			c.reset()
 			delete(n.conns, c)
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 	near.Close()
 	far.Close()
-	return nil, dialError(addr, errCut)
+	return nil, dialError(addr, errReset)
 }
 
 func (h *Host) find(addr string) (*memoryListener, bool) {
@@ -154,20 +154,22 @@
 	if l == nil {
 		return nil, false
 	}
-	stuck := n.cutsOnPause(addr) && (n.paused[h.name] != nil || n.paused[l.host] != nil)
-	return l, stuck || n.cuts[pairOf(h.name, l.host)]
+	stuck := n.resetsOnPause(addr) && (n.paused[h.name] != nil || n.paused[l.host] != nil)
+	return l, stuck || n.partitions[pairOf(h.name, l.host)]
 }
 
-func (n *Network) cutsOnPause(addr string) bool { return n.CutOnPause != nil && n.CutOnPause(addr) }
+func (n *Network) resetsOnPause(addr string) bool {
+	return n.ResetOnPause != nil && n.ResetOnPause(addr)
+}
 
 func (h *Host) connect(l *memoryListener) (near, far *memoryConn) {
 	a, b := net.Pipe()
 	broken := make(chan struct{})
 	var once sync.Once
-	cut := func() { once.Do(func() { close(broken); a.Close(); b.Close() }) }
-	cutOnPause := h.network.cutsOnPause(l.addr)
-	near = &memoryConn{Conn: a, network: h.network, local: h.name, remote: l.host, broken: broken, cut: cut, cutOnPause: cutOnPause}
-	far = &memoryConn{Conn: b, network: h.network, local: l.host, remote: h.name, broken: broken, cut: cut, cutOnPause: cutOnPause}
+	reset := func() { once.Do(func() { close(broken); a.Close(); b.Close() }) }
+	resetOnPause := h.network.resetsOnPause(l.addr)
+	near = &memoryConn{Conn: a, network: h.network, local: h.name, remote: l.host, broken: broken, reset: reset, resetOnPause: resetOnPause}
+	far = &memoryConn{Conn: b, network: h.network, local: l.host, remote: h.name, broken: broken, reset: reset, resetOnPause: resetOnPause}
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.network.conns == nil {
@@ -236,9 +238,9 @@
 	local   string
 	remote  string
 	broken  chan struct{}
-	cut     func()
+	reset   func()
 
-	cutOnPause bool
+	resetOnPause bool
 }
 
 func (c *memoryConn) Read(b []byte) (int, error) {
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -12,9 +12,9 @@
 
 // isolate cuts an entry off from the platform and from its peers.
 func (s *site) isolate(name string, others ...string) {
-	s.network.Cut(name, "platform")
+	s.network.Partition(name, "platform")
 	for _, other := range others {
-		s.network.Cut(name, other)
+		s.network.Partition(name, other)
 	}
 }
 
@@ -61,8 +61,8 @@
 		status, _ = s.withdraw("entry-a", "k")
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("a change cannot be accepted without the log"))
 
-		s.network.Cut("entry-c", "entry-a")
-		s.network.Cut("entry-c", "entry-b")
+		s.network.Partition("entry-c", "entry-a")
+		s.network.Partition("entry-c", "entry-b")
 		time.Sleep(4 * time.Second)
 		status, _, _ = s.ask("entry-c", "secret", prompt("alone", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("without a majority an entry stops"))
@@ -136,7 +136,7 @@
 			s.up("entry-a", "entry-b", "entry-c")
 			s.grant("entry-a", "k", "tabline", "secret")
 			for _, other := range cuts {
-				s.network.Cut("entry-c", other)
+				s.network.Partition("entry-c", other)
 			}
 			time.Sleep(10 * time.Second)
 			status, _, _ := s.ask("entry-c", "secret", prompt("x", 1, true))
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -93,7 +93,7 @@
 		s.logger = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(os.Stderr), zapcore.DebugLevel))
 	}
 	asserter.OnViolation(func(i asserter.Invariant, detail string) { t.Errorf("invariant %s: %s", i, detail) })
-	s.network.CutOnPause = func(addr string) bool { return strings.HasSuffix(addr, ":2") && strings.HasPrefix(addr, "entry") }
+	s.network.ResetOnPause = func(addr string) bool { return strings.HasSuffix(addr, ":2") && strings.HasPrefix(addr, "entry") }
 	s.http = networker.Client(s.network.Host("caller"), true)
 	s.platform = &imitator.Platform{}
 	s.serve("platform", platformAddr, s.platform.Handler())
@@ -101,7 +101,7 @@
 	s.serve("service", serviceAddr, s.service.Handler())
 	for i, name := range []string{"engine-a", "engine-b", "engine-c", "engine-d", "engine-e"} {
 		e := &imitator.Engine{
-			Model: model, PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, CachePieces: 64,
+			Model: model, PrefillPerSecond: 20000, DecodePerSecond: 40, Slots: 32, CacheParts: 64,
 			LoadLag: 300 * time.Millisecond, ChangeTime: 3 * time.Second, ChecksFence: i != 2,
 		}
 		s.engines[name] = e
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -262,7 +262,7 @@
 }
 
 func (k *soak) cut(a, b string) func() {
-	return k.exclusive("cut "+a+b, func() { k.network.Cut(a, b) }, func() { k.network.Heal(a, b) })
+	return k.exclusive("cut "+a+b, func() { k.network.Partition(a, b) }, func() { k.network.Heal(a, b) })
 }
 
 func (k *soak) platformFault(f imitator.PlatformFaults) func() {
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -20,8 +20,8 @@
 		s.up("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		if !mirrored {
-			s.network.Cut("entry-b", "entry-a")
-			s.network.Cut("entry-b", "entry-c")
+			s.network.Partition("entry-b", "entry-a")
+			s.network.Partition("entry-b", "entry-c")
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 300})
 		answers := s.stream("entry-b", 8, 10)
