--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -45,7 +45,7 @@
 	PrefillPerSecond float64       `long:"PrefillPerSecond" default:"20000"`
 	DecodePerSecond  float64       `long:"DecodePerSecond" default:"40"`
 	Slots            int           `long:"Slots" default:"32"`
-	CachePieces      int           `long:"CachePieces" default:"64"`
+	CacheParts       int           `long:"CachePieces" default:"64"`
 	LoadLag          time.Duration `long:"LoadLag" default:"500ms"`
 	ChangeTime       time.Duration `long:"ChangeTime" default:"3s"`
 	ChecksFence      bool          `long:"ChecksFence"`
@@ -55,7 +55,7 @@
 func (c *engineCommand) Execute([]string) error {
 	e := &imitator.Engine{
 		Model: c.Model, PrefillPerSecond: c.PrefillPerSecond, DecodePerSecond: c.DecodePerSecond, Slots: c.Slots,
-		CachePieces: c.CachePieces, LoadLag: c.LoadLag, ChangeTime: c.ChangeTime, ChecksFence: c.ChecksFence,
+		CacheParts: c.CacheParts, LoadLag: c.LoadLag, ChangeTime: c.ChangeTime, ChecksFence: c.ChecksFence,
 	}
 	return serve(c.Listen, e.Handler(), e.Leave)
 }
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -20,7 +20,7 @@
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int
-	CachePieces      int
+	CacheParts       int
 	LoadLag          time.Duration
 	ChangeTime       time.Duration
 	ChecksFence      bool
@@ -233,7 +233,7 @@
 }
 
 func (e *Engine) noteCached(pieces []uint64) {
-	for _, event := range e.cache.add(pieces, e.CachePieces) {
+	for _, event := range e.cache.add(pieces, e.CacheParts) {
 		event.Sequence = e.firstEvent + uint64(len(e.events))
 		e.events = append(e.events, event)
 	}
