--- a/internal/generator/generator.go
+++ b/internal/generator/generator.go
@@ -62,7 +62,7 @@
 		})
 	}
 	group.Wait()
-	result.Took = time.Since(g.started)
+	result.Elapsed = time.Since(g.started)
 	return result
 }
 
--- a/internal/generator/result.go
+++ b/internal/generator/result.go
@@ -19,7 +19,7 @@
 
 // Result is what a run of the generator measured.
 type Result struct {
-	Took     time.Duration
+	Elapsed  time.Duration
 	Finished int64
 	Tokens   int64
 	Failures map[string]int64
@@ -99,7 +99,7 @@
 	}{{"first token", r.FirstToken()}, {"between tokens", r.BetweenTokens()}} {
 		fmt.Fprintf(w, "%-24s %10.2f %10.2f %10.2f\n", row.name, row.l.P50, row.l.P95, row.l.Max)
 	}
-	seconds := r.Took.Seconds()
+	seconds := r.Elapsed.Seconds()
 	fmt.Fprintf(w, "%d finished in %.1f s: %.1f requests/s, %.1f tokens/s\n", r.Finished, seconds, float64(r.Finished)/seconds, float64(r.Tokens)/seconds)
 	for _, code := range slices.Sorted(maps.Keys(r.Failures)) {
 		fmt.Fprintf(w, "%d failed: %s\n", r.Failures[code], code)
@@ -113,5 +113,5 @@
 		Finished, Tokens          int64
 		Failures                  map[string]int64
 		FirstToken, BetweenTokens Latency
-	}{r.Took.Milliseconds(), r.Finished, r.Tokens, r.Failures, r.FirstToken(), r.BetweenTokens()})
+	}{r.Elapsed.Milliseconds(), r.Finished, r.Tokens, r.Failures, r.FirstToken(), r.BetweenTokens()})
 }
--- a/internal/imitator/service.go
+++ b/internal/imitator/service.go
@@ -17,8 +17,8 @@
 	keysSeen   int
 }
 
-// ServiceAnswer is the service's answer to a call.
-type ServiceAnswer struct {
+// ServiceResponse is the service's answer to a call.
+type ServiceResponse struct {
 	Key       string
 	Execution int
 	Echo      string
@@ -64,5 +64,5 @@
 	if s.Latency > 0 && !pause(r, s.Latency) {
 		return
 	}
-	writeJSON(w, ServiceAnswer{Key: key, Execution: n, Echo: string(body)})
+	writeJSON(w, ServiceResponse{Key: key, Execution: n, Echo: string(body)})
 }
