--- a/internal/imitator/answer.go
+++ b/internal/imitator/answer.go
@@ -11,8 +11,8 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// pause waits for d or until the caller has gone.
-func pause(r *http.Request, d time.Duration) bool {
+// sleep waits for d and returns true, or returns false as soon as the caller is gone.
+func sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -23,9 +23,9 @@
 	}
 }
 
-// discard is a response writer whose answer is lost.
-type discard struct{}
+// discardWriter is a response writer that discards the response.
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
-func (discard) WriteHeader(int)             {}
+func (discardWriter) Header() http.Header         { return http.Header{} }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) WriteHeader(int)             {}
--- a/internal/imitator/cache.go
+++ b/internal/imitator/cache.go
@@ -6,15 +6,15 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
 )
 
-// pieceCache is a prefix cache in pieces with least-recently-used eviction; the zero value is empty.
-type pieceCache struct {
+// partCache is a prefix cache of prompt parts with least-recently-used eviction; the zero value is empty.
+type partCache struct {
 	recent []uint64
 }
 
-// hit returns how many leading pieces are cached.
-func (c *pieceCache) hit(pieces []uint64) int64 {
+// cachedPrefix returns how many leading parts are cached.
+func (c *partCache) cachedPrefix(parts []uint64) int64 {
 	n := int64(0)
-	for _, p := range pieces {
+	for _, p := range parts {
 		if !slices.Contains(c.recent, p) {
 			break
 		}
@@ -23,10 +23,10 @@
 	return n
 }
 
-// add caches the pieces and returns the events of what came and went.
-func (c *pieceCache) add(pieces []uint64, limit int) []chatter.CacheEvent {
+// add caches the parts, evicts parts beyond the limit and returns the events of both.
+func (c *partCache) add(parts []uint64, limit int) []chatter.CacheEvent {
 	var events []chatter.CacheEvent
-	for _, p := range pieces {
+	for _, p := range parts {
 		if i := slices.Index(c.recent, p); i >= 0 {
 			c.recent = slices.Delete(c.recent, i, i+1)
 		} else {
--- a/internal/imitator/control.go
+++ b/internal/imitator/control.go
@@ -9,7 +9,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
 )
 
-// load answers with the engine's load as it was LoadLag ago.
+// load responds with the engine's load as it was LoadLag ago.
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -18,14 +18,14 @@
 	}
 	now := time.Now()
 	current := chatter.Load{Running: int64(e.running), Waiting: e.waiting, Slots: int64(e.Slots), Leaving: e.leaving}
-	if e.prefillFree.After(now) {
-		current.QueuedPrefillMilliseconds = e.prefillFree.Sub(now).Milliseconds()
+	if e.prefillFreeAt.After(now) {
+		current.QueuedPrefillMilliseconds = e.prefillFreeAt.Sub(now).Milliseconds()
 	}
-	e.reports = append(e.reports, timedLoad{at: now, load: current})
-	reported := e.reports[0]
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.LoadLag {
-		e.reports = e.reports[1:]
-		reported = e.reports[0]
+	e.loadHistory = append(e.loadHistory, timedLoad{at: now, load: current})
+	reported := e.loadHistory[0]
+	for len(e.loadHistory) > 1 && now.Sub(e.loadHistory[1].at) >= e.LoadLag {
+		e.loadHistory = e.loadHistory[1:]
+		reported = e.loadHistory[0]
 	}
 	reported.load.AgeMilliseconds = now.Sub(reported.at).Milliseconds()
 	writeJSON(w, reported.load)
@@ -38,10 +38,10 @@
 	if e.crashed {
 		abort(w)
 	}
-	page := chatter.CacheEvents{Next: e.firstEvent + uint64(len(e.events))}
-	from = max(from, e.firstEvent)
+	page := chatter.CacheEvents{Next: e.firstSequence + uint64(len(e.events))}
+	from = max(from, e.firstSequence)
 	if from < page.Next {
-		page.Events = append(page.Events, e.events[from-e.firstEvent:]...)
+		page.Events = append(page.Events, e.events[from-e.firstSequence:]...)
 	}
 	writeJSON(w, page)
 }
@@ -60,12 +60,13 @@
 		Role:      e.role,
 		Model:     e.Model,
 		LastOrder: e.lastOrder.OrderID,
-		Changing:  time.Now().Before(e.changingTill),
+		Changing:  time.Now().Before(e.changingUntil),
 		Running:   int64(e.running) + e.waiting,
 	}
 }
 
-// order carries out a role or model order; only an engine that checks refuses an old fencing number.
+// order applies a role or model order. An order with a stale fencing number is refused only if ChecksFence is set; an
+// order without an id only raises the fencing number.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o chatter.EngineOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -78,14 +79,14 @@
 		abort(w)
 	}
 	e.counts.Orders++
-	if o.Fence < e.fence {
+	if o.Fence < e.highestFence {
 		e.counts.StaleOrders++
 		if e.ChecksFence {
 			http.Error(w, "stale fencing number", http.StatusConflict)
 			return
 		}
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.highestFence = max(e.highestFence, o.Fence)
 	if o.OrderID == "" {
 		writeJSON(w, e.currentState())
 		return
@@ -95,7 +96,7 @@
 	}
 	if o.OrderID != e.lastOrder.OrderID {
 		e.lastOrder = o
-		e.carryOut(o)
+		e.applyOrder(o)
 	}
 	if e.firstOrder.OrderID == "" {
 		e.firstOrder = o
@@ -103,7 +104,7 @@
 	writeJSON(w, e.currentState())
 }
 
-// conflicts reports whether an order contradicts one that may still be under way.
+// conflicts reports whether an order contradicts an earlier one that may still be in progress.
 func (e *Engine) conflicts(o chatter.EngineOrder) bool {
 	differs := func(a chatter.EngineOrder) bool { return a.Role != o.Role || a.Model != o.Model }
 	if o.OrderID == e.lastOrder.OrderID {
@@ -112,19 +113,19 @@
 	if !e.ChecksFence {
 		return e.firstOrder.OrderID != "" && differs(e.firstOrder)
 	}
-	return time.Now().Before(e.changingTill) && differs(e.lastOrder)
+	return time.Now().Before(e.changingUntil) && differs(e.lastOrder)
 }
 
-func (e *Engine) carryOut(o chatter.EngineOrder) {
+func (e *Engine) applyOrder(o chatter.EngineOrder) {
 	if o.Role == e.role && (o.Model == "" || o.Model == e.Model) {
 		return
 	}
 	e.role = o.Role
 	if o.Model != "" && o.Model != e.Model {
 		e.Model = o.Model
-		e.cache = pieceCache{}
+		e.cache = partCache{}
 	}
-	e.changingTill = time.Now().Add(e.ChangeTime)
+	e.changingUntil = time.Now().Add(e.ChangeTime)
 }
 
 func (e *Engine) leave(w http.ResponseWriter, _ *http.Request) {
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -14,7 +14,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/caller"
 )
 
-// Engine is a stand-in for a model engine; PrefillPerSecond, DecodePerSecond and Slots must be set.
+// Engine is a stand-in for a model engine. PrefillPerSecond, DecodePerSecond (both in tokens) and Slots must be set.
 type Engine struct {
 	Model            string
 	PrefillPerSecond float64
@@ -25,27 +25,27 @@
 	ChangeTime       time.Duration
 	ChecksFence      bool
 
-	mu           sync.Mutex
-	role         string
-	running      int
-	waiting      int64
-	prefillFree  time.Time
-	cache        pieceCache
-	events       []chatter.CacheEvent
-	firstEvent   uint64
-	reports      []timedLoad
-	fence        uint64
-	lastOrder    chatter.EngineOrder
-	firstOrder   chatter.EngineOrder
-	changingTill time.Time
-	leaving      bool
-	crashed      bool
-	crash        chan struct{}
-	counts       EngineCounts
-	slots        chan struct{}
+	mu            sync.Mutex
+	role          string
+	running       int
+	waiting       int64
+	prefillFreeAt time.Time
+	cache         partCache
+	events        []chatter.CacheEvent
+	firstSequence uint64
+	loadHistory   []timedLoad
+	highestFence  uint64
+	lastOrder     chatter.EngineOrder
+	firstOrder    chatter.EngineOrder
+	changingUntil time.Time
+	leaving       bool
+	crashed       bool
+	crash         chan struct{}
+	counts        EngineCounts
+	slots         chan struct{}
 }
 
-// EngineCounts counts what the engine saw that the promises rule out, and its work.
+// EngineCounts counts the engine's work and the calls that must not occur, such as conflicting orders.
 type EngineCounts struct {
 	Started           int
 	Finished          int
@@ -64,7 +64,7 @@
 	load chatter.Load
 }
 
-const keptEvents = 1024
+const maximumCacheEvents = 1024
 
 // Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
@@ -83,24 +83,24 @@
 	return mux
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counts so far.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Crash cuts all answers and refuses work until Restart.
+// Crash aborts all requests and empties the cache; until Restart, new requests are aborted too.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crashed = true
-	close(e.crashing())
+	close(e.crashSignal())
 	e.crash = nil
-	e.cache = pieceCache{}
+	e.cache = partCache{}
 }
 
-// Restart ends a crash with an empty cache.
+// Restart ends a crash; the engine starts with an empty cache and is not leaving.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,14 +108,14 @@
 	e.leaving = false
 }
 
-// Leave marks the engine as leaving; work that arrives afterwards is counted.
+// Leave marks the engine as leaving; requests that arrive afterwards are served and counted in StartedLeaving.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-func (e *Engine) crashing() chan struct{} {
+func (e *Engine) crashSignal() chan struct{} {
 	if e.crash == nil {
 		e.crash = make(chan struct{})
 	}
@@ -128,7 +128,7 @@
 	if e.crashed {
 		abort(w)
 	}
-	if time.Now().Before(e.changingTill) {
+	if time.Now().Before(e.changingUntil) {
 		http.Error(w, "role change in progress", http.StatusServiceUnavailable)
 		return nil, false
 	}
@@ -142,7 +142,7 @@
 	if e.slots == nil {
 		e.slots = make(chan struct{}, e.Slots)
 	}
-	return e.crashing(), true
+	return e.crashSignal(), true
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -156,11 +156,11 @@
 		return
 	}
 	finished := false
-	defer func() { e.end(finished) }()
-	if !e.enter(r, crash) {
+	defer func() { e.countEnd(finished) }()
+	if !e.acquireSlot(r, crash) {
 		abort(w)
 	}
-	defer e.exit()
+	defer e.releaseSlot()
 	if !e.prefill(r, crash, req) {
 		abort(w)
 	}
@@ -168,10 +168,10 @@
 		finished = e.stream(w, r, crash, req)
 		return
 	}
-	finished = e.whole(w, r, crash, req)
+	finished = e.respond(w, r, crash, req)
 }
 
-func (e *Engine) end(finished bool) {
+func (e *Engine) countEnd(finished bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if finished {
@@ -181,7 +181,7 @@
 	e.counts.Cut++
 }
 
-func (e *Engine) enter(r *http.Request, crash <-chan struct{}) bool {
+func (e *Engine) acquireSlot(r *http.Request, crash <-chan struct{}) bool {
 	e.mu.Lock()
 	e.waiting++
 	e.mu.Unlock()
@@ -203,43 +203,43 @@
 	return true
 }
 
-func (e *Engine) exit() {
+func (e *Engine) releaseSlot() {
 	e.mu.Lock()
 	e.running--
 	e.mu.Unlock()
 	<-e.slots
 }
 
-// prefill takes the engine's prefill unit for as long as the uncached prompt needs.
+// prefill waits until the uncached tokens of the prompt are prefilled. The engine prefills one prompt at a time.
 func (e *Engine) prefill(r *http.Request, crash <-chan struct{}, req chatter.Request) bool {
 	tokens := req.PromptTokens()
-	pieces := req.Pieces()
+	parts := req.Pieces()
 	e.mu.Lock()
-	cached := min(tokens, e.cache.hit(pieces)*chatter.PieceTokens)
+	cached := min(tokens, e.cache.cachedPrefix(parts)*chatter.PieceTokens)
 	if r.Header.Get(chatter.HandleHeader) != "" {
 		cached = tokens
 	}
-	e.noteCached(pieces)
+	e.addToCache(parts)
 	e.counts.CachedTokens += cached
 	e.counts.PrefilledTokens += tokens - cached
 	now := time.Now()
-	if e.prefillFree.Before(now) {
-		e.prefillFree = now
+	if e.prefillFreeAt.Before(now) {
+		e.prefillFreeAt = now
 	}
-	e.prefillFree = e.prefillFree.Add(time.Duration(float64(tokens-cached) / e.PrefillPerSecond * float64(time.Second)))
-	wait := e.prefillFree.Sub(now)
+	e.prefillFreeAt = e.prefillFreeAt.Add(time.Duration(float64(tokens-cached) / e.PrefillPerSecond * float64(time.Second)))
+	wait := e.prefillFreeAt.Sub(now)
 	e.mu.Unlock()
 	return e.wait(r, crash, wait)
 }
 
-func (e *Engine) noteCached(pieces []uint64) {
-	for _, event := range e.cache.add(pieces, e.CacheParts) {
-		event.Sequence = e.firstEvent + uint64(len(e.events))
+func (e *Engine) addToCache(parts []uint64) {
+	for _, event := range e.cache.add(parts, e.CacheParts) {
+		event.Sequence = e.firstSequence + uint64(len(e.events))
 		e.events = append(e.events, event)
 	}
-	if over := len(e.events) - keptEvents; over > 0 {
+	if over := len(e.events) - maximumCacheEvents; over > 0 {
 		e.events = e.events[over:]
-		e.firstEvent += uint64(over)
+		e.firstSequence += uint64(over)
 	}
 }
 
@@ -260,20 +260,20 @@
 	return time.Duration(float64(time.Second) / e.DecodePerSecond)
 }
 
-// Token returns the text of the n-th output token, counted from 1, which depends on the prompt alone.
+// Token returns the text of the n-th output token, counted from 1. It depends only on the prompt and n.
 func Token(req chatter.Request, n int64) string {
 	return "t" + strconv.FormatUint(xxhash.Sum64String(req.Prompt()+strconv.FormatInt(n, 10))%100_000, 10) + " "
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, crash <-chan struct{}, req chatter.Request) bool {
 	id := r.Header.Get(chatter.RequestIDHeader)
-	done, _ := strconv.ParseInt(r.Header.Get(chatter.ResumeHeader), 10, 64)
+	received, _ := strconv.ParseInt(r.Header.Get(chatter.ResumeHeader), 10, 64)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(chatter.RequestIDHeader, id)
 	w.WriteHeader(http.StatusOK)
 	flush(w)
 	total := req.OutputLimit()
-	for n := done + 1; n <= total; n++ {
+	for n := received + 1; n <= total; n++ {
 		if !e.wait(r, crash, e.decodeInterval()) {
 			abort(w)
 		}
@@ -289,7 +289,7 @@
 	return true
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, crash <-chan struct{}, req chatter.Request) bool {
+func (e *Engine) respond(w http.ResponseWriter, r *http.Request, crash <-chan struct{}, req chatter.Request) bool {
 	id := r.Header.Get(chatter.RequestIDHeader)
 	total := req.OutputLimit()
 	text := ""
@@ -304,7 +304,7 @@
 	return true
 }
 
-// prefillOnly computes a prompt's KV cache and answers with the handle for its import elsewhere.
+// prefillOnly prefills a prompt and responds with the handle by which another engine imports its KV cache.
 func (e *Engine) prefillOnly(w http.ResponseWriter, r *http.Request) {
 	var req chatter.Request
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -316,19 +316,19 @@
 		return
 	}
 	if !e.prefill(r, crash, req) {
-		e.end(false)
+		e.countEnd(false)
 		abort(w)
 	}
-	e.end(true)
+	e.countEnd(true)
 	writeJSON(w, chatter.Transfer{Handle: fmt.Sprintf("%s/kv/%s", r.Host, r.Header.Get(chatter.RequestIDHeader))})
 }
 
-// addresses answers as an entry does, so that a load can be sent to the engine directly for comparison.
+// addresses responds as an entry instance does, so that load can be sent to the engine directly for comparison.
 func (e *Engine) addresses(w http.ResponseWriter, r *http.Request) {
 	writeJSON(w, caller.Addresses{Addresses: []caller.Address{{Address: r.Host}}, LifetimeMilliseconds: time.Minute.Milliseconds()})
 }
 
-// abort cuts the connection without an answer.
+// abort closes the connection without a response.
 func abort(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
 func flush(w http.ResponseWriter) {
--- a/internal/imitator/network.go
+++ b/internal/imitator/network.go
@@ -12,13 +12,13 @@
 
 const dialTimeout = time.Second
 
-// errReset is what a connection returns whose host was cut off or killed.
+// errReset is returned by Dial if the listener closes, or the dial times out, before the connection is accepted.
 var errReset = errors.New("connection reset")
 
-// Network is a stand-in for the network between hosts in one process; the zero value is ready.
+// Network is a stand-in for the network between hosts, within one process; the zero value is ready.
 //
-// ResetOnPause names listeners whose connections a pause resets instead of holding their bytes back: the
-// multiplexer keeps a mutex while it writes, and virtual time does not pass while one waits for it.
+// ResetOnPause selects the listeners whose connections Pause resets instead of holding back their bytes: the
+// multiplexer holds a mutex while it writes, and virtual time does not advance while a goroutine waits for that mutex.
 type Network struct {
 	ResetOnPause func(addr string) bool
 
@@ -29,43 +29,43 @@
 	paused     map[string]chan struct{}
 }
 
-// Host is the network as one host sees it.
+// Host is one host's view of the network.
 type Host struct {
 	network *Network
 	name    string
 }
 
-// Host returns the network as the named host sees it.
+// Host returns the named host's view of the network.
 func (n *Network) Host(name string) *Host { return &Host{network: n, name: name} }
 
-// Partition drops all connections between two hosts and allows no new ones until Heal.
+// Partition resets all connections between two hosts and blocks new ones until Heal.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.partitions == nil {
 		n.partitions = map[[2]string]bool{}
 	}
-	n.partitions[pairOf(a, b)] = true
-	n.drop(func(c *memoryConn) bool { return pairOf(c.local, c.remote) == pairOf(a, b) })
+	n.partitions[hostPair(a, b)] = true
+	n.resetConns(func(c *memoryConn) bool { return hostPair(c.local, c.remote) == hostPair(a, b) })
 }
 
-// Heal ends a cut.
+// Heal ends the partition between two hosts.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.partitions, pairOf(a, b))
+	delete(n.partitions, hostPair(a, b))
 }
 
-// Kill drops all connections and listeners of a host.
+// Kill resets all connections of a host and closes its listeners.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.listeners {
 		if l.host == name {
-			l.shut()
+			l.closeOnce()
 		}
 	}
-	n.drop(func(c *memoryConn) bool { return c.local == name || c.remote == name })
+	n.resetConns(func(c *memoryConn) bool { return c.local == name || c.remote == name })
 }
 
 // Pause holds back all bytes that a host sends or reads until Resume.
@@ -78,20 +78,20 @@
 	if n.paused[name] == nil {
 		n.paused[name] = make(chan struct{})
 	}
-	n.drop(func(c *memoryConn) bool { return c.resetOnPause && (c.local == name || c.remote == name) })
+	n.resetConns(func(c *memoryConn) bool { return c.resetOnPause && (c.local == name || c.remote == name) })
 }
 
 // Resume ends a pause.
 func (n *Network) Resume(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if gate := n.paused[name]; gate != nil {
-		close(gate)
+	if resumed := n.paused[name]; resumed != nil {
+		close(resumed)
 		delete(n.paused, name)
 	}
 }
 
-func (n *Network) drop(matches func(*memoryConn) bool) {
+func (n *Network) resetConns(matches func(*memoryConn) bool) {
 	for c := range n.conns {
 		if matches(c) {
 			c.reset()
@@ -100,7 +100,7 @@
 	}
 }
 
-func (n *Network) gate(name string) chan struct{} {
+func (n *Network) resumed(name string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.paused[name]
@@ -122,27 +122,27 @@
 	return l, nil
 }
 
-// Dial connects to an address; a cut makes it wait for the dial timeout.
+// Dial connects to an address; across a partition it blocks until dialTimeout.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	l, cut := h.find(addr)
-	if cut {
+	l, blocked := h.find(addr)
+	if blocked {
 		<-ctx.Done()
 		return nil, dialError(addr, ctx.Err())
 	}
 	if l == nil || l.isClosed() {
 		return nil, dialError(addr, errors.New("connection refused"))
 	}
-	near, far := h.connect(l)
+	clientConn, serverConn := h.connect(l)
 	select {
-	case l.accepted <- far:
-		return near, nil
+	case l.accepted <- serverConn:
+		return clientConn, nil
 	case <-l.closed:
 	case <-ctx.Done():
 	}
-	near.Close()
-	far.Close()
+	clientConn.Close()
+	serverConn.Close()
 	return nil, dialError(addr, errReset)
 }
 
@@ -154,37 +154,37 @@
 	if l == nil {
 		return nil, false
 	}
-	stuck := n.resetsOnPause(addr) && (n.paused[h.name] != nil || n.paused[l.host] != nil)
-	return l, stuck || n.partitions[pairOf(h.name, l.host)]
+	blockedByPause := n.resetsOnPause(addr) && (n.paused[h.name] != nil || n.paused[l.host] != nil)
+	return l, blockedByPause || n.partitions[hostPair(h.name, l.host)]
 }
 
 func (n *Network) resetsOnPause(addr string) bool {
 	return n.ResetOnPause != nil && n.ResetOnPause(addr)
 }
 
-func (h *Host) connect(l *memoryListener) (near, far *memoryConn) {
+func (h *Host) connect(l *memoryListener) (clientConn, serverConn *memoryConn) {
 	a, b := net.Pipe()
 	broken := make(chan struct{})
 	var once sync.Once
 	reset := func() { once.Do(func() { close(broken); a.Close(); b.Close() }) }
 	resetOnPause := h.network.resetsOnPause(l.addr)
-	near = &memoryConn{Conn: a, network: h.network, local: h.name, remote: l.host, broken: broken, reset: reset, resetOnPause: resetOnPause}
-	far = &memoryConn{Conn: b, network: h.network, local: l.host, remote: h.name, broken: broken, reset: reset, resetOnPause: resetOnPause}
+	clientConn = &memoryConn{Conn: a, network: h.network, local: h.name, remote: l.host, broken: broken, reset: reset, resetOnPause: resetOnPause}
+	serverConn = &memoryConn{Conn: b, network: h.network, local: l.host, remote: h.name, broken: broken, reset: reset, resetOnPause: resetOnPause}
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.network.conns == nil {
 		h.network.conns = map[*memoryConn]bool{}
 	}
-	h.network.conns[near] = true
-	h.network.conns[far] = true
-	return near, far
+	h.network.conns[clientConn] = true
+	h.network.conns[serverConn] = true
+	return clientConn, serverConn
 }
 
 func dialError(addr string, err error) error {
 	return &net.OpError{Op: "dial", Net: "memory", Addr: memoryAddr(addr), Err: err}
 }
 
-func pairOf(a, b string) [2]string {
+func hostPair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
@@ -214,11 +214,11 @@
 }
 
 func (l *memoryListener) Close() error {
-	l.shut()
+	l.closeOnce()
 	return nil
 }
 
-func (l *memoryListener) shut() { l.once.Do(func() { close(l.closed) }) }
+func (l *memoryListener) closeOnce() { l.once.Do(func() { close(l.closed) }) }
 
 func (l *memoryListener) isClosed() bool {
 	select {
@@ -231,7 +231,7 @@
 
 func (l *memoryListener) Addr() net.Addr { return memoryAddr(l.addr) }
 
-// memoryConn is one end of a connection; its bytes wait while its host is paused.
+// memoryConn is one end of a connection; its reads and writes block while its host is paused.
 type memoryConn struct {
 	net.Conn
 	network *Network
@@ -245,22 +245,22 @@
 
 func (c *memoryConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.wait()
+	c.waitWhilePaused()
 	return n, err
 }
 
 func (c *memoryConn) Write(b []byte) (int, error) {
-	c.wait()
+	c.waitWhilePaused()
 	return c.Conn.Write(b)
 }
 
-func (c *memoryConn) wait() {
-	gate := c.network.gate(c.local)
-	if gate == nil {
+func (c *memoryConn) waitWhilePaused() {
+	resumed := c.network.resumed(c.local)
+	if resumed == nil {
 		return
 	}
 	select {
-	case <-gate:
+	case <-resumed:
 	case <-c.broken:
 	}
 }
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -14,14 +14,15 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// PlatformFaults are what the platform stand-in does wrong on demand.
+// PlatformFaults are the faults that the platform stand-in injects. LoseAnswers is the probability that a POST is carried
+// out but its response is replaced by an error.
 type PlatformFaults struct {
 	Down              bool
 	LoseAnswers       float64
 	DelayMilliseconds int64
 }
 
-// PlatformCounts counts what the platform saw that the promises rule out.
+// PlatformCounts counts the calls to the platform and those that must not occur, such as conflicting orders.
 type PlatformCounts struct {
 	Appends           int
 	Records           int
@@ -42,19 +43,19 @@
 	// Pool holds the targets that can be ordered.
 	Pool []provider.GrantedTarget
 
-	mu         sync.Mutex
-	streams    map[string]*stream
-	faults     PlatformFaults
-	counts     PlatformCounts
-	reports    map[uint64]provider.Report
-	reportedAt time.Time
-	orders     map[string]provider.TargetOrder
-	granted    map[string]provider.GrantedTarget
-	fences     [2]identifier.Fence
-	instances  []provider.Instance
-	listedAt   time.Time
-	pendingAt  []provider.Instance
-	changed    chan struct{}
+	mu               sync.Mutex
+	streams          map[string]*stream
+	faults           PlatformFaults
+	counts           PlatformCounts
+	reports          map[uint64]provider.Report
+	reportedAt       time.Time
+	orders           map[string]provider.TargetOrder
+	granted          map[string]provider.GrantedTarget
+	fences           [2]identifier.Fence
+	instances        []provider.Instance
+	pendingVisibleAt time.Time
+	pendingInstances []provider.Instance
+	changed          chan struct{}
 }
 
 type stream struct {
@@ -67,11 +68,11 @@
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /log/{stream}", p.faulty(p.append))
-	mux.HandleFunc("GET /log/{stream}", p.faulty(p.read))
-	mux.HandleFunc("GET /instances", p.faulty(p.list))
-	mux.HandleFunc("POST /targets", p.faulty(p.order))
-	mux.HandleFunc("POST /reports", p.faulty(p.report))
+	mux.HandleFunc("POST /log/{stream}", p.withFaults(p.append))
+	mux.HandleFunc("GET /log/{stream}", p.withFaults(p.read))
+	mux.HandleFunc("GET /instances", p.withFaults(p.list))
+	mux.HandleFunc("POST /targets", p.withFaults(p.order))
+	mux.HandleFunc("POST /reports", p.withFaults(p.report))
 	mux.HandleFunc("POST /fault", p.setFaults)
 	mux.HandleFunc("POST /instances", p.setInstances)
 	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
@@ -79,23 +80,23 @@
 	return mux
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.signal()
+	p.notifyReaders()
 }
 
-// SetInstances replaces the instance list, visible after ListLag.
+// SetInstances replaces the instance list; the new list is visible after ListLag.
 func (p *Platform) SetInstances(list []provider.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pendingAt = list
-	p.listedAt = time.Now().Add(p.ListLag)
+	p.pendingInstances = list
+	p.pendingVisibleAt = time.Now().Add(p.ListLag)
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counts so far.
 func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,20 +130,20 @@
 	s.first += drop
 }
 
-func (p *Platform) faulty(h http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := p.faults
 		p.mu.Unlock()
 		if f.DelayMilliseconds > 0 {
-			pause(r, time.Duration(f.DelayMilliseconds)*time.Millisecond)
+			sleep(r, time.Duration(f.DelayMilliseconds)*time.Millisecond)
 		}
 		if f.Down {
 			http.Error(w, "platform down", http.StatusServiceUnavailable)
 			return
 		}
 		if r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers {
-			h(discard{}, r)
+			h(discardWriter{}, r)
 			http.Error(w, "answer lost", http.StatusServiceUnavailable)
 			return
 		}
@@ -166,7 +167,7 @@
 	if p.Retention > 0 && len(s.records) > 2*p.Retention {
 		s.truncate(p.Retention)
 	}
-	p.signal()
+	p.notifyReaders()
 	writeJSON(w, provider.AppendAnswer{Offset: identifier.Offset(offset)})
 }
 
@@ -179,8 +180,8 @@
 		return
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("WaitMilliseconds"))
-	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer deadline.Stop()
+	waitTimer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer waitTimer.Stop()
 	for expired := wait == 0; ; {
 		page, changed, down := p.page(r.PathValue("stream"), from)
 		if down {
@@ -197,7 +198,7 @@
 		}
 		select {
 		case <-changed:
-		case <-deadline.C:
+		case <-waitTimer.C:
 			expired = true
 		case <-r.Context().Done():
 			return
@@ -227,8 +228,8 @@
 func (p *Platform) list(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pendingAt != nil && !time.Now().Before(p.listedAt) {
-		p.instances, p.pendingAt = p.pendingAt, nil
+	if p.pendingInstances != nil && !time.Now().Before(p.pendingVisibleAt) {
+		p.instances, p.pendingInstances = p.pendingInstances, nil
 	}
 	writeJSON(w, p.instances)
 }
@@ -254,19 +255,19 @@
 	o.Sender, o.Fence = "", 0
 	if ok && known != o {
 		p.counts.ConflictingOrders++
-		http.Error(w, "order differs from the first under its id", http.StatusConflict)
+		http.Error(w, "order differs from the first order with the same id", http.StatusConflict)
 		return
 	}
 	p.orders[o.OrderID] = o
-	if !ok && !p.carryOut(o) {
-		http.Error(w, "no such target is free", http.StatusConflict)
+	if !ok && !p.applyOrder(o) {
+		http.Error(w, "no matching target is free", http.StatusConflict)
 		return
 	}
 	writeJSON(w, p.granted[o.OrderID])
 }
 
-// carryOut takes a fitting target from the pool for an order, or puts one back.
-func (p *Platform) carryOut(o provider.TargetOrder) bool {
+// applyOrder grants a matching target from the pool, or returns a withdrawn target to the pool.
+func (p *Platform) applyOrder(o provider.TargetOrder) bool {
 	if p.granted == nil {
 		p.granted = map[string]provider.GrantedTarget{}
 	}
@@ -289,12 +290,13 @@
 	return false
 }
 
-// raiseFence reports whether no higher fencing number was seen on the interface before.
-func (p *Platform) raiseFence(which int, fence identifier.Fence) bool {
-	if fence < p.fences[which] {
+// raiseFence records a fencing number, unless a higher one was seen for the same endpoint (0: targets, 1: reports), and
+// reports whether it was recorded.
+func (p *Platform) raiseFence(endpoint int, fence identifier.Fence) bool {
+	if fence < p.fences[endpoint] {
 		return false
 	}
-	p.fences[which] = fence
+	p.fences[endpoint] = fence
 	return true
 }
 
@@ -318,18 +320,18 @@
 	known, ok := p.reports[report.Window]
 	if ok && !slices.Equal(known.Teams, report.Teams) {
 		p.counts.WrongReports++
-		http.Error(w, fmt.Sprintf("window %d was reported with other figures", report.Window), http.StatusConflict)
+		http.Error(w, fmt.Sprintf("window %d was reported before with different counts", report.Window), http.StatusConflict)
 		return
 	}
 	if !ok {
-		p.noteLate()
+		p.countLateReport()
 		p.reports[report.Window] = report
 	}
 	writeJSON(w, struct{}{})
 }
 
-// noteLate counts a new window that came too long after the one before it.
-func (p *Platform) noteLate() {
+// countLateReport counts a new usage window that came more than ReportTimeout after the one before it.
+func (p *Platform) countLateReport() {
 	now := time.Now()
 	if p.ReportTimeout > 0 && !p.reportedAt.IsZero() && now.Sub(p.reportedAt) > p.ReportTimeout {
 		p.counts.LateReports++
@@ -367,7 +369,7 @@
 	return p.streams[name]
 }
 
-func (p *Platform) signal() {
+func (p *Platform) notifyReaders() {
 	if p.changed != nil {
 		close(p.changed)
 		p.changed = nil
--- a/internal/imitator/service.go
+++ b/internal/imitator/service.go
@@ -17,14 +17,14 @@
 	keysSeen   int
 }
 
-// ServiceResponse is the service's answer to a call.
+// ServiceResponse is the service's response to a call.
 type ServiceResponse struct {
 	Key       string
 	Execution int
 	Echo      string
 }
 
-// ServiceCounts counts what the service saw.
+// ServiceCounts holds the executions per idempotency key and the number of requests with an Authorization header.
 type ServiceCounts struct {
 	Executions map[string]int
 	KeysSeen   int
@@ -38,7 +38,7 @@
 	return mux
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counts so far.
 func (s *Service) Counts() ServiceCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +61,7 @@
 		s.keysSeen++
 	}
 	s.mu.Unlock()
-	if s.Latency > 0 && !pause(r, s.Latency) {
+	if s.Latency > 0 && !sleep(r, s.Latency) {
 		return
 	}
 	writeJSON(w, ServiceResponse{Key: key, Execution: n, Echo: string(body)})
