--- a/cmd/coltsfootscale/doc.go
+++ b/cmd/coltsfootscale/doc.go
@@ -1,2 +1,2 @@
-// Command coltsfootscale runs an entry instance and the operators' and callers' commands.
+// Command coltsfootscale runs an entry instance or a command of an operator or caller.
 package main
--- a/cmd/standin/doc.go
+++ b/cmd/standin/doc.go
@@ -1,2 +1,2 @@
-// Command standin runs a stand-in of the platform, an engine or a plain service for demos and tests.
+// Command standin runs a stand-in for the platform, a model engine or a plain service in demos and tests.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,11 +19,11 @@
 const stopTimeout = time.Minute
 
 type options struct {
-	Platform platformCommand `command:"platform" description:"run a stand-in of the platform"`
-	Engine   engineCommand   `command:"engine" description:"run a stand-in of a model engine"`
-	Service  serviceCommand  `command:"service" description:"run a stand-in of a plain service"`
-	Get      getCommand      `command:"get" description:"print what a stand-in answers to a GET"`
-	Post     postCommand     `command:"post" description:"send a fault or list to a stand-in"`
+	Platform platformCommand `command:"platform" description:"run a stand-in for the platform"`
+	Engine   engineCommand   `command:"engine" description:"run a stand-in for a model engine"`
+	Service  serviceCommand  `command:"service" description:"run a stand-in for a plain service"`
+	Get      getCommand      `command:"get" description:"print the response of a stand-in to a GET request"`
+	Post     postCommand     `command:"post" description:"send faults or an instance list to a stand-in"`
 }
 
 type platformCommand struct {
@@ -77,10 +77,10 @@
 	} `positional-args:"true"`
 }
 
-// Execute prints the answer.
+// Execute sends a GET request and prints the response.
 func (c *getCommand) Execute([]string) error {
 	resp, err := http.Get(c.Positional.URL)
-	return printAnswer(resp, err)
+	return printResponse(resp, err)
 }
 
 type postCommand struct {
@@ -90,13 +90,13 @@
 	} `positional-args:"true"`
 }
 
-// Execute sends the body and prints the answer.
+// Execute sends the body in a POST request and prints the response.
 func (c *postCommand) Execute([]string) error {
 	resp, err := http.Post(c.Positional.URL, "application/json", strings.NewReader(c.Positional.Body))
-	return printAnswer(resp, err)
+	return printResponse(resp, err)
 }
 
-func printAnswer(resp *http.Response, err error) error {
+func printResponse(resp *http.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -105,16 +105,17 @@
 	return err
 }
 
-// serve answers until SIGTERM and then finishes the answers under way.
-func serve(addr string, h http.Handler, leaving func()) error {
+// serve handles requests until SIGTERM or an interrupt, then finishes the requests in progress.
+func serve(addr string, h http.Handler, leave func()) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	srv := &http.Server{Addr: addr, Handler: h}
 	done := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		if leaving != nil {
-			leaving()
+		if leave != nil {
+			leave()
+			// Entry instances read the leaving state before the listener closes.
 			time.Sleep(time.Second)
 		}
 		stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/generator/doc.go
+++ b/internal/generator/doc.go
@@ -1,2 +1,3 @@
-// Package generator sends a bounded load with a shifting prompt-to-output mix and measures the answers.
+// Package generator sends requests with bounded concurrency and an oscillating ratio of prompt to output tokens, and measures
+// the responses.
 package generator
--- a/internal/generator/generator.go
+++ b/internal/generator/generator.go
@@ -25,7 +25,8 @@
 	maximumErrorBody = 64 << 10
 )
 
-// Generator sends requests; all fields but Progress must be set.
+// Generator sends requests. All fields but Progress must be set; with a Swing of 0 the ratio of prompt to output tokens
+// does not oscillate.
 type Generator struct {
 	Caller       *caller.Caller
 	Key          string
@@ -39,11 +40,11 @@
 	Seed         uint64
 	Progress     io.Writer
 
-	next    atomic.Int64
-	started time.Time
+	lastRequest atomic.Int64
+	started     time.Time
 }
 
-// Run sends all requests, or as many as ctx allows, and returns what was measured.
+// Run sends all requests, or stops when ctx is done, and returns the measurements.
 func (g *Generator) Run(ctx context.Context) *Result {
 	g.started = time.Now()
 	result := newResult()
@@ -53,11 +54,11 @@
 	for range g.Concurrency {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				n := g.next.Add(1)
+				n := g.lastRequest.Add(1)
 				if n > int64(g.Requests) {
 					return
 				}
-				g.one(ctx, n, result)
+				g.send(ctx, n, result)
 			}
 		})
 	}
@@ -66,12 +67,12 @@
 	return result
 }
 
-func (g *Generator) one(ctx context.Context, n int64, result *Result) {
+func (g *Generator) send(ctx context.Context, n int64, result *Result) {
 	body, err := json.Marshal(g.request(n))
 	if err != nil {
 		return
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	resp, err := g.Caller.Do(ctx, func(base string) (*http.Request, error) {
 		req, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(body))
 		if err == nil {
@@ -86,13 +87,13 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		result.fail(codeOf(resp.Body))
+		result.fail(errorCode(resp.Body))
 		return
 	}
-	g.measure(resp.Body, began, result)
+	g.measure(resp.Body, sentAt, result)
 }
 
-func codeOf(r io.Reader) string {
+func errorCode(r io.Reader) string {
 	var body answerer.Body
 	data, _ := io.ReadAll(io.LimitReader(r, maximumErrorBody))
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
@@ -101,10 +102,10 @@
 	return string(body.Error.Code)
 }
 
-// measure reads one streamed answer.
-func (g *Generator) measure(r io.Reader, began time.Time, result *Result) {
+// measure reads a streamed response and records the latency of each token.
+func (g *Generator) measure(r io.Reader, sentAt time.Time, result *Result) {
 	events := chatter.NewEventReader(r)
-	last := began
+	previous := sentAt
 	tokens := int64(0)
 	for {
 		event, err := events.Next()
@@ -120,13 +121,14 @@
 			continue
 		}
 		now := time.Now()
-		result.token(tokens == 0, now.Sub(last))
-		last = now
+		result.recordToken(tokens == 0, now.Sub(previous))
+		previous = now
 		tokens++
 	}
 }
 
-// request draws the n-th request: a prefix that repeats, and lengths whose ratio follows the swing.
+// request returns the n-th request. Its prompt repeats one of Prefixes prefixes, and its lengths are random. A factor that
+// oscillates between 1/2 and 2 with the period Swing multiplies the prompt length and divides the output length.
 func (g *Generator) request(n int64) chatter.Request {
 	r := rand.New(rand.NewPCG(g.Seed, uint64(n)))
 	ratio := 1.0
@@ -140,7 +142,7 @@
 	return chatter.Request{Model: g.Model, Messages: []chatter.Message{{Role: "user", Content: text}}, MaxTokens: output, Stream: true}
 }
 
-// progress prints a line now and then until the returned function is called.
+// progress prints a line every progressInterval until the returned function is called.
 func (g *Generator) progress(result *Result) func() {
 	if g.Progress == nil {
 		return func() {}
--- a/internal/generator/result.go
+++ b/internal/generator/result.go
@@ -17,7 +17,7 @@
 	significantFigures  = 3
 )
 
-// Result is what a run of the generator measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Elapsed  time.Duration
 	Finished int64
@@ -29,7 +29,7 @@
 	between *hdrhistogram.Histogram
 }
 
-// Latency is a summary in milliseconds.
+// Latency summarizes a latency distribution in milliseconds.
 type Latency struct {
 	P50 float64
 	P95 float64
@@ -44,7 +44,7 @@
 	}
 }
 
-func (r *Result) token(first bool, d time.Duration) {
+func (r *Result) recordToken(first bool, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.between
@@ -77,20 +77,20 @@
 	return fmt.Sprintf("%d finished, %d failed", r.Finished, failed)
 }
 
-// FirstToken returns the time from a request to its first token.
+// FirstToken summarizes the time from a request to its first token.
 func (r *Result) FirstToken() Latency { return r.latency(r.first) }
 
-// BetweenTokens returns the time between two tokens of an answer.
+// BetweenTokens summarizes the time between two consecutive tokens of a response.
 func (r *Result) BetweenTokens() Latency { return r.latency(r.between) }
 
 func (r *Result) latency(h *hdrhistogram.Histogram) Latency {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Latency{P50: at(50), P95: at(95), Max: at(100)}
+	milliseconds := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	return Latency{P50: milliseconds(50), P95: milliseconds(95), Max: milliseconds(100)}
 }
 
-// WriteTable prints the result for people.
+// WriteTable prints the result as a table for people.
 func (r *Result) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "%-24s %10s %10s %10s\n", "milliseconds", "P50", "P95", "Max")
 	for _, row := range []struct {
@@ -106,7 +106,7 @@
 	}
 }
 
-// WriteJSON prints the result as one JSON line.
+// WriteJSON prints the result as one line of JSON.
 func (r *Result) WriteJSON(w io.Writer) error {
 	return json.NewEncoder(w).Encode(struct {
 		TookMilliseconds          int64
