--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,11 +19,11 @@
 const stopTimeout = time.Minute
 
 type options struct {
-	Platform platformCommand `command:"platform" description:"run a stand-in for the platform"`
-	Engine   engineCommand   `command:"engine" description:"run a stand-in for a model engine"`
-	Service  serviceCommand  `command:"service" description:"run a stand-in for a plain service"`
-	Get      getCommand      `command:"get" description:"print the response of a stand-in to a GET request"`
-	Post     postCommand     `command:"post" description:"send faults or an instance list to a stand-in"`
+	Platform platformCommand `command:"platform" description:"run a stand-in of the platform"`
+	Engine   engineCommand   `command:"engine" description:"run a stand-in of a model engine"`
+	Service  serviceCommand  `command:"service" description:"run a stand-in of a plain service"`
+	Get      getCommand      `command:"get" description:"print what a stand-in answers to a GET"`
+	Post     postCommand     `command:"post" description:"send a fault or list to a stand-in"`
 }
 
 type platformCommand struct {
--- a/internal/generator/generator.go
+++ b/internal/generator/generator.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// request returns the n-th request. Its prompt repeats one of Prefixes prefixes, and its lengths are random. A factor that
-// oscillates between 1/2 and 2 with the period Swing multiplies the prompt length and divides the output length.
+// request returns the n-th request. Its prompt repeats one of Prefixes prefixes, and its lengths are random. A factor
+// that oscillates between 1/2 and 2 with the period Swing multiplies the prompt length and divides the output length.
 func (g *Generator) request(n int64) chatter.Request {
 	r := rand.New(rand.NewPCG(g.Seed, uint64(n)))
 	ratio := 1.0
--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -115,6 +115,7 @@
 	e.leaving = true
 }
 
+// crashSignal returns the channel that the next crash closes; the caller holds the lock.
 func (e *Engine) crashSignal() chan struct{} {
 	if e.crash == nil {
 		e.crash = make(chan struct{})
@@ -122,6 +123,8 @@
 	return e.crash
 }
 
+// start counts a request and returns the channel that a crash closes. It refuses the request and returns false during a
+// role change.
 func (e *Engine) start(w http.ResponseWriter, r *http.Request) (<-chan struct{}, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,6 +184,7 @@
 	e.counts.Cut++
 }
 
+// acquireSlot waits for a free slot and returns false if the engine crashes or the client leaves first.
 func (e *Engine) acquireSlot(r *http.Request, crash <-chan struct{}) bool {
 	e.mu.Lock()
 	e.waiting++
--- a/internal/imitator/network.go
+++ b/internal/imitator/network.go
@@ -100,6 +100,7 @@
 	}
 }
 
+// resumed returns the channel that Resume closes, or nil if the host is not paused.
 func (n *Network) resumed(name string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,6 +147,7 @@
 	return nil, dialError(addr, errReset)
 }
 
+// find returns the listener at an address and whether a partition or a pause blocks connections to it.
 func (h *Host) find(addr string) (*memoryListener, bool) {
 	n := h.network
 	n.mu.Lock()
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -58,6 +58,7 @@
 	changed          chan struct{}
 }
 
+// stream is the log of one name; first is the offset of its oldest record.
 type stream struct {
 	first   int
 	records [][]byte
@@ -206,6 +207,7 @@
 	}
 }
 
+// page returns the records from an offset on, the channel that the next change closes, and whether the platform is down.
 func (p *Platform) page(name string, from uint64) (provider.Page, <-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -369,6 +371,7 @@
 	return p.streams[name]
 }
 
+// notifyReaders wakes the readers that wait for a change; the caller holds the lock.
 func (p *Platform) notifyReaders() {
 	if p.changed != nil {
 		close(p.changed)
