--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -45,7 +45,7 @@
 	PrefillPerSecond float64       `long:"PrefillPerSecond" default:"20000"`
 	DecodePerSecond  float64       `long:"DecodePerSecond" default:"40"`
 	Slots            int           `long:"Slots" default:"32"`
-	CachePieces      int           `long:"CachePieces" default:"64"`
+	CacheParts       int           `long:"CachePieces" default:"64"`
 	LoadLag          time.Duration `long:"LoadLag" default:"500ms"`
 	ChangeTime       time.Duration `long:"ChangeTime" default:"3s"`
 	ChecksFence      bool          `long:"ChecksFence"`
@@ -55,7 +55,7 @@
 func (c *engineCommand) Execute([]string) error {
 	e := &imitator.Engine{
 		Model: c.Model, PrefillPerSecond: c.PrefillPerSecond, DecodePerSecond: c.DecodePerSecond, Slots: c.Slots,
-		CachePieces: c.CachePieces, LoadLag: c.LoadLag, ChangeTime: c.ChangeTime, ChecksFence: c.ChecksFence,
+		CacheParts: c.CacheParts, LoadLag: c.LoadLag, ChangeTime: c.ChangeTime, ChecksFence: c.ChecksFence,
 	}
 	return serve(c.Listen, e.Handler(), e.Leave)
 }
@@ -77,10 +77,10 @@
 	} `positional-args:"true"`
 }
 
-// Execute prints the answer.
+// Execute sends a GET request and prints the response.
 func (c *getCommand) Execute([]string) error {
 	resp, err := http.Get(c.Positional.URL)
-	return printAnswer(resp, err)
+	return printResponse(resp, err)
 }
 
 type postCommand struct {
@@ -90,13 +90,13 @@
 	} `positional-args:"true"`
 }
 
-// Execute sends the body and prints the answer.
+// Execute sends the body in a POST request and prints the response.
 func (c *postCommand) Execute([]string) error {
 	resp, err := http.Post(c.Positional.URL, "application/json", strings.NewReader(c.Positional.Body))
-	return printAnswer(resp, err)
+	return printResponse(resp, err)
 }
 
-func printAnswer(resp *http.Response, err error) error {
+func printResponse(resp *http.Response, err error) error {
 	if err != nil {
 		return err
 	}
@@ -105,16 +105,17 @@
 	return err
 }
 
-// serve answers until SIGTERM and then finishes the answers under way.
-func serve(addr string, h http.Handler, leaving func()) error {
+// serve handles requests until SIGTERM or an interrupt, then finishes the requests in progress.
+func serve(addr string, h http.Handler, leave func()) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	srv := &http.Server{Addr: addr, Handler: h}
 	done := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		if leaving != nil {
-			leaving()
+		if leave != nil {
+			leave()
+			// Entry instances read the leaving state before the listener closes.
 			time.Sleep(time.Second)
 		}
 		stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -14,15 +14,16 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// PlatformFaults are what the platform stand-in does wrong on demand.
+// PlatformFaults are the faults that the platform stand-in injects. LoseAnswers is the probability that a POST is carried
+// out but its response is replaced by an error.
 type PlatformFaults struct {
 	Down              bool
 	LoseAnswers       float64
 	DelayMilliseconds int64
 }
 
-// PlatformVerdict counts what the platform saw that the promises rule out.
-type PlatformVerdict struct {
+// PlatformCounts counts the calls to the platform and those that must not occur, such as conflicting orders.
+type PlatformCounts struct {
 	Appends           int
 	Records           int
 	Reports           int
@@ -42,21 +43,22 @@
 	// Pool holds the targets that can be ordered.
 	Pool []provider.GrantedTarget
 
-	mu         sync.Mutex
-	streams    map[string]*stream
-	faults     PlatformFaults
-	verdict    PlatformVerdict
-	reports    map[uint64]provider.Report
-	reportedAt time.Time
-	orders     map[string]provider.TargetOrder
-	granted    map[string]provider.GrantedTarget
-	fences     [2]identifier.Fence
-	instances  []provider.Instance
-	listedAt   time.Time
-	pendingAt  []provider.Instance
-	changed    chan struct{}
+	mu               sync.Mutex
+	streams          map[string]*stream
+	faults           PlatformFaults
+	counts           PlatformCounts
+	reports          map[uint64]provider.Report
+	reportedAt       time.Time
+	orders           map[string]provider.TargetOrder
+	granted          map[string]provider.GrantedTarget
+	fences           [2]identifier.Fence
+	instances        []provider.Instance
+	pendingVisibleAt time.Time
+	pendingInstances []provider.Instance
+	changed          chan struct{}
 }
 
+// stream is the log of one name; first is the offset of its oldest record.
 type stream struct {
 	first   int
 	records [][]byte
@@ -67,39 +69,39 @@
 // Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /log/{stream}", p.faulty(p.append))
-	mux.HandleFunc("GET /log/{stream}", p.faulty(p.read))
-	mux.HandleFunc("GET /instances", p.faulty(p.list))
-	mux.HandleFunc("POST /targets", p.faulty(p.order))
-	mux.HandleFunc("POST /reports", p.faulty(p.report))
+	mux.HandleFunc("POST /log/{stream}", p.withFaults(p.append))
+	mux.HandleFunc("GET /log/{stream}", p.withFaults(p.read))
+	mux.HandleFunc("GET /instances", p.withFaults(p.list))
+	mux.HandleFunc("POST /targets", p.withFaults(p.order))
+	mux.HandleFunc("POST /reports", p.withFaults(p.report))
 	mux.HandleFunc("POST /fault", p.setFaults)
 	mux.HandleFunc("POST /instances", p.setInstances)
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Verdict()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
 	mux.HandleFunc("GET /reports", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Reports()) })
 	return mux
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.signal()
+	p.notifyReaders()
 }
 
-// SetInstances replaces the instance list, visible after ListLag.
+// SetInstances replaces the instance list; the new list is visible after ListLag.
 func (p *Platform) SetInstances(list []provider.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pendingAt = list
-	p.listedAt = time.Now().Add(p.ListLag)
+	p.pendingInstances = list
+	p.pendingVisibleAt = time.Now().Add(p.ListLag)
 }
 
-// Verdict returns what was counted so far.
-func (p *Platform) Verdict() PlatformVerdict {
+// Counts returns the counts so far.
+func (p *Platform) Counts() PlatformCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.verdict
+	return p.counts
 }
 
 // Reports returns the accepted usage windows, oldest first.
@@ -129,20 +131,20 @@
 	s.first += drop
 }
 
-func (p *Platform) faulty(h http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := p.faults
 		p.mu.Unlock()
 		if f.DelayMilliseconds > 0 {
-			pause(r, time.Duration(f.DelayMilliseconds)*time.Millisecond)
+			sleep(r, time.Duration(f.DelayMilliseconds)*time.Millisecond)
 		}
 		if f.Down {
 			http.Error(w, "platform down", http.StatusServiceUnavailable)
 			return
 		}
 		if r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers {
-			h(discard{}, r)
+			h(discardWriter{}, r)
 			http.Error(w, "answer lost", http.StatusServiceUnavailable)
 			return
 		}
@@ -161,12 +163,12 @@
 	s := p.stream(r.PathValue("stream"))
 	offset := s.end()
 	s.records = append(s.records, in.Records...)
-	p.verdict.Appends++
-	p.verdict.Records += len(in.Records)
+	p.counts.Appends++
+	p.counts.Records += len(in.Records)
 	if p.Retention > 0 && len(s.records) > 2*p.Retention {
 		s.truncate(p.Retention)
 	}
-	p.signal()
+	p.notifyReaders()
 	writeJSON(w, provider.AppendAnswer{Offset: identifier.Offset(offset)})
 }
 
@@ -179,8 +181,8 @@
 		return
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("WaitMilliseconds"))
-	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer deadline.Stop()
+	waitTimer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer waitTimer.Stop()
 	for expired := wait == 0; ; {
 		page, changed, down := p.page(r.PathValue("stream"), from)
 		if down {
@@ -197,7 +199,7 @@
 		}
 		select {
 		case <-changed:
-		case <-deadline.C:
+		case <-waitTimer.C:
 			expired = true
 		case <-r.Context().Done():
 			return
@@ -205,6 +207,7 @@
 	}
 }
 
+// page returns the records from an offset on, the channel that the next change closes, and whether the platform is down.
 func (p *Platform) page(name string, from uint64) (provider.Page, <-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,8 +230,8 @@
 func (p *Platform) list(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pendingAt != nil && !time.Now().Before(p.listedAt) {
-		p.instances, p.pendingAt = p.pendingAt, nil
+	if p.pendingInstances != nil && !time.Now().Before(p.pendingVisibleAt) {
+		p.instances, p.pendingInstances = p.pendingInstances, nil
 	}
 	writeJSON(w, p.instances)
 }
@@ -241,9 +244,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.verdict.TargetOrders++
+	p.counts.TargetOrders++
 	if !p.raiseFence(0, o.Fence) {
-		p.verdict.StaleOrders++
+		p.counts.StaleOrders++
 		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
@@ -253,20 +256,20 @@
 	known, ok := p.orders[o.OrderID]
 	o.Sender, o.Fence = "", 0
 	if ok && known != o {
-		p.verdict.ConflictingOrders++
-		http.Error(w, "order differs from the first under its id", http.StatusConflict)
+		p.counts.ConflictingOrders++
+		http.Error(w, "order differs from the first order with the same id", http.StatusConflict)
 		return
 	}
 	p.orders[o.OrderID] = o
-	if !ok && !p.carryOut(o) {
-		http.Error(w, "no such target is free", http.StatusConflict)
+	if !ok && !p.applyOrder(o) {
+		http.Error(w, "no matching target is free", http.StatusConflict)
 		return
 	}
 	writeJSON(w, p.granted[o.OrderID])
 }
 
-// carryOut takes a fitting target from the pool for an order, or puts one back.
-func (p *Platform) carryOut(o provider.TargetOrder) bool {
+// applyOrder grants a matching target from the pool, or returns a withdrawn target to the pool.
+func (p *Platform) applyOrder(o provider.TargetOrder) bool {
 	if p.granted == nil {
 		p.granted = map[string]provider.GrantedTarget{}
 	}
@@ -289,12 +292,13 @@
 	return false
 }
 
-// raiseFence reports whether no higher fencing number was seen on the interface before.
-func (p *Platform) raiseFence(which int, fence identifier.Fence) bool {
-	if fence < p.fences[which] {
+// raiseFence records a fencing number, unless a higher one was seen for the same endpoint (0: targets, 1: reports), and
+// reports whether it was recorded.
+func (p *Platform) raiseFence(endpoint int, fence identifier.Fence) bool {
+	if fence < p.fences[endpoint] {
 		return false
 	}
-	p.fences[which] = fence
+	p.fences[endpoint] = fence
 	return true
 }
 
@@ -306,9 +310,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.verdict.Reports++
+	p.counts.Reports++
 	if !p.raiseFence(1, report.Fence) {
-		p.verdict.StaleReports++
+		p.counts.StaleReports++
 		http.Error(w, "stale fencing number", http.StatusConflict)
 		return
 	}
@@ -317,22 +321,22 @@
 	}
 	known, ok := p.reports[report.Window]
 	if ok && !slices.Equal(known.Teams, report.Teams) {
-		p.verdict.WrongReports++
-		http.Error(w, fmt.Sprintf("window %d was reported with other figures", report.Window), http.StatusConflict)
+		p.counts.WrongReports++
+		http.Error(w, fmt.Sprintf("window %d was reported before with different counts", report.Window), http.StatusConflict)
 		return
 	}
 	if !ok {
-		p.noteLate()
+		p.countLateReport()
 		p.reports[report.Window] = report
 	}
 	writeJSON(w, struct{}{})
 }
 
-// noteLate counts a new window that came too long after the one before it.
-func (p *Platform) noteLate() {
+// countLateReport counts a new usage window that came more than ReportTimeout after the one before it.
+func (p *Platform) countLateReport() {
 	now := time.Now()
 	if p.ReportTimeout > 0 && !p.reportedAt.IsZero() && now.Sub(p.reportedAt) > p.ReportTimeout {
-		p.verdict.LateReports++
+		p.counts.LateReports++
 	}
 	p.reportedAt = now
 }
@@ -367,7 +371,8 @@
 	return p.streams[name]
 }
 
-func (p *Platform) signal() {
+// notifyReaders wakes the readers that wait for a change; the caller holds the lock.
+func (p *Platform) notifyReaders() {
 	if p.changed != nil {
 		close(p.changed)
 		p.changed = nil
--- a/internal/imitator/service.go
+++ b/internal/imitator/service.go
@@ -17,15 +17,15 @@
 	keysSeen   int
 }
 
-// ServiceAnswer is the service's answer to a call.
-type ServiceAnswer struct {
+// ServiceResponse is the service's response to a call.
+type ServiceResponse struct {
 	Key       string
 	Execution int
 	Echo      string
 }
 
-// ServiceVerdict counts what the service saw.
-type ServiceVerdict struct {
+// ServiceCounts holds the executions per idempotency key and the number of requests with an Authorization header.
+type ServiceCounts struct {
 	Executions map[string]int
 	KeysSeen   int
 }
@@ -33,16 +33,16 @@
 // Handler returns the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Verdict()) })
+	mux.HandleFunc("GET /verdict", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
 	mux.HandleFunc("/", s.execute)
 	return mux
 }
 
-// Verdict returns what was counted so far.
-func (s *Service) Verdict() ServiceVerdict {
+// Counts returns the counts so far.
+func (s *Service) Counts() ServiceCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ServiceVerdict{Executions: maps.Clone(s.executions), KeysSeen: s.keysSeen}
+	return ServiceCounts{Executions: maps.Clone(s.executions), KeysSeen: s.keysSeen}
 }
 
 func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
@@ -61,8 +61,8 @@
 		s.keysSeen++
 	}
 	s.mu.Unlock()
-	if s.Latency > 0 && !pause(r, s.Latency) {
+	if s.Latency > 0 && !sleep(r, s.Latency) {
 		return
 	}
-	writeJSON(w, ServiceAnswer{Key: key, Execution: n, Echo: string(body)})
+	writeJSON(w, ServiceResponse{Key: key, Execution: n, Echo: string(body)})
 }
--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -12,9 +12,9 @@
 
 // isolate cuts an entry's connections to the platform and to the given peers.
 func (s *site) isolate(name string, others ...string) {
-	s.network.Cut(name, "platform")
+	s.network.Partition(name, "platform")
 	for _, other := range others {
-		s.network.Cut(name, other)
+		s.network.Partition(name, other)
 	}
 }
 
@@ -62,8 +62,8 @@
 		status, _ = s.withdraw("entry-a", "k")
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("no change can be accepted without the log"))
 
-		s.network.Cut("entry-c", "entry-a")
-		s.network.Cut("entry-c", "entry-b")
+		s.network.Partition("entry-c", "entry-a")
+		s.network.Partition("entry-c", "entry-b")
 		time.Sleep(4 * time.Second)
 		status, _, _ = s.chat("entry-c", "secret", prompt("alone", 1, true))
 		c.Check(status, quicktest.Equals, http.StatusServiceUnavailable, quicktest.Commentf("an entry without a majority stops serving"))
@@ -104,7 +104,7 @@
 		c.Check(status, quicktest.Equals, http.StatusOK)
 		status, _, _ = s.settle("entry-c", "secret", "tab-1")
 		c.Check(status, quicktest.Equals, http.StatusOK)
-		c.Check(s.service.Verdict().Executions["tab-1"], quicktest.Equals, 1)
+		c.Check(s.service.Counts().Executions["tab-1"], quicktest.Equals, 1)
 	})
 }
 
@@ -137,7 +137,7 @@
 			s.startEntries("entry-a", "entry-b", "entry-c")
 			s.grant("entry-a", "k", "tabline", "secret")
 			for _, other := range cuts {
-				s.network.Cut("entry-c", other)
+				s.network.Partition("entry-c", other)
 			}
 			time.Sleep(10 * time.Second)
 			status, _, _ := s.chat("entry-c", "secret", prompt("x", 1, true))
--- a/internal/runner/leaving_test.go
+++ b/internal/runner/leaving_test.go
@@ -89,17 +89,17 @@
 		s.grant("entry-a", "k", "tabline", "secret")
 		answers := s.startAnswers("entry-a", 20, 200)
 		time.Sleep(500 * time.Millisecond)
-		before := s.engines["engine-a"].Verdict().Started
+		before := s.engines["engine-a"].Counts().Started
 		c.Check(before > 0, quicktest.IsTrue)
 		s.engines["engine-a"].Leave()
 		time.Sleep(2 * time.Second)
-		startedAfterNotice := s.engines["engine-a"].Verdict().Started
+		startedAfterNotice := s.engines["engine-a"].Counts().Started
 		lateAnswers := s.startAnswers("entry-b", 20, 20)
 		for range 20 {
 			c.Check((<-answers).complete, quicktest.IsTrue)
 			c.Check((<-lateAnswers).complete, quicktest.IsTrue)
 		}
-		v := s.engines["engine-a"].Verdict()
+		v := s.engines["engine-a"].Counts()
 		c.Check(v.Started, quicktest.Equals, startedAfterNotice, quicktest.Commentf("new work two seconds after the engine announced that it leaves"))
 		c.Check(v.Cut, quicktest.Equals, 0)
 	})
@@ -128,15 +128,15 @@
 		for range 20 {
 			<-firstAnswers
 		}
-		quicktest.Check(t, s.engines["engine-a"].Verdict().Started > 0, quicktest.IsTrue, quicktest.Commentf("work before the target is listed as leaving"))
+		quicktest.Check(t, s.engines["engine-a"].Counts().Started > 0, quicktest.IsTrue, quicktest.Commentf("work before the target is listed as leaving"))
 		s.platform.SetInstances([]provider.Instance{{ID: "entry-a"}, {ID: "entry-b"}, {ID: "engine-a", Leaving: true}, {ID: "engine-b"}, {ID: "engine-c"}})
 		time.Sleep(3 * time.Second)
-		before := s.engines["engine-a"].Verdict().Started
+		before := s.engines["engine-a"].Counts().Started
 		answers := s.startAnswers("entry-b", 20, 10)
 		for range 20 {
 			quicktest.Check(t, (<-answers).complete, quicktest.IsTrue)
 		}
-		quicktest.Check(t, s.engines["engine-a"].Verdict().Started, quicktest.Equals, before)
+		quicktest.Check(t, s.engines["engine-a"].Counts().Started, quicktest.Equals, before)
 	})
 }
 
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -34,7 +34,7 @@
 			s.kill("entry-b")
 			firstRun := <-first
 			_, secondRun, _ := s.settle("entry-c", "secret", key)
-			executions := s.service.Verdict().Executions[key]
+			executions := s.service.Counts().Executions[key]
 			maximum = max(maximum, executions)
 			reportedNotRun := firstRun == answerer.NotRun && secondRun == answerer.NotRun
 			quicktest.Check(t, reportedNotRun && executions > 0, quicktest.IsFalse, quicktest.Commentf("killed after %s: executed %d times but reported as NotRun", after, executions))
@@ -71,7 +71,7 @@
 			}
 		}
 		c.Check(ok >= 1, quicktest.IsTrue)
-		c.Check(s.service.Verdict().Executions["tab-7"], quicktest.Equals, 1)
+		c.Check(s.service.Counts().Executions["tab-7"], quicktest.Equals, 1)
 		time.Sleep(time.Second)
 		status, _, body := s.settle("entry-b", "secret", "tab-7")
 		c.Check(status, quicktest.Equals, http.StatusOK)
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -263,7 +263,7 @@
 }
 
 func (k *soak) cut(a, b string) func() {
-	return k.exclusive("cut "+a+b, func() { k.network.Cut(a, b) }, func() { k.network.Heal(a, b) })
+	return k.exclusive("cut "+a+b, func() { k.network.Partition(a, b) }, func() { k.network.Heal(a, b) })
 }
 
 func (k *soak) platformFault(f imitator.PlatformFaults) func() {
@@ -309,14 +309,14 @@
 	k.checkUsage(c)
 	orders := 0
 	for _, e := range k.engines {
-		orders += e.Verdict().Orders
+		orders += e.Counts().Orders
 	}
-	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.runs), k.platform.Verdict())
+	k.t.Logf("%d engine orders, %d faults, %d answers finished, %d uncertain, %d calls, platform %+v", orders, len(k.faults), k.finished, k.uncertain, len(k.runs), k.platform.Counts())
 	c.Check(k.finished > 20, quicktest.IsTrue, quicktest.Commentf("%d answers finished", k.finished))
 }
 
 func (k *soak) checkTargets(c *quicktest.C) {
-	service := k.service.Verdict()
+	service := k.service.Counts()
 	for _, key := range slices.Sorted(maps.Keys(k.runs)) {
 		n := service.Executions[key]
 		c.Check(n <= 1, quicktest.IsTrue, quicktest.Commentf("%s was executed %d times", key, n))
@@ -326,14 +326,14 @@
 	}
 	c.Check(service.KeysSeen, quicktest.Equals, 0)
 	for name, e := range k.engines {
-		v := e.Verdict()
+		v := e.Counts()
 		c.Check(v.KeysSeen, quicktest.Equals, 0, quicktest.Commentf(name))
 		c.Check(v.ConflictingOrders, quicktest.Equals, 0, quicktest.Commentf(name))
 	}
 }
 
 func (k *soak) checkPlatform(c *quicktest.C) {
-	v := k.platform.Verdict()
+	v := k.platform.Counts()
 	c.Check(v.WrongReports, quicktest.Equals, 0)
 	c.Check(v.ConflictingOrders, quicktest.Equals, 0)
 }
@@ -343,7 +343,7 @@
 func (k *soak) checkUsage(c *quicktest.C) {
 	sum, _ := k.reportedUsage()
 	settled := 0
-	for _, n := range k.service.Verdict().Executions {
+	for _, n := range k.service.Counts().Executions {
 		settled += n
 	}
 	low := int64(k.finished)
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -21,8 +21,8 @@
 		s.startEntries("entry-a", "entry-b", "entry-c")
 		s.grant("entry-a", "k", "tabline", "secret")
 		if !mirrored {
-			s.network.Cut("entry-b", "entry-a")
-			s.network.Cut("entry-b", "entry-c")
+			s.network.Partition("entry-b", "entry-a")
+			s.network.Partition("entry-b", "entry-c")
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 300})
 		answers := s.startAnswers("entry-b", 8, 10)
@@ -64,7 +64,7 @@
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{})
 		time.Sleep(30 * time.Second)
-		v := s.platform.Verdict()
+		v := s.platform.Counts()
 		c.Check(v.WrongReports, quicktest.Equals, 0)
 		sum, windows := s.reportedUsage()
 		c.Check(windows > 5, quicktest.IsTrue)
