--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -39,12 +39,12 @@
 	Freshness time.Duration
 	// Connections is how many connections to the address may be open at once; zero: any number.
 	Connections int
-	// Belongs tells an answer to this request from one to another request on the same connection.
-	Belongs func(status int, h http.Header) bool
+	// Matches tells an answer to this request from one to another request on the same connection.
+	Matches func(status int, h http.Header) bool
 }
 
-// Answer is the head of an answer and its body; Body must be closed.
-type Answer struct {
+// Response is the head of an answer and its body; Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body; -1: not known.
@@ -77,7 +77,7 @@
 // Do sends a request once and returns the head of its answer.
 //
 // The connection is closed when ctx ends, also while the body is being read.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.get(ctx, r.Address, r.Freshness, r.Connections)
 	if err != nil {
 		return nil, err
@@ -187,7 +187,7 @@
 	}
 }
 
-func (x *exchange) receive(r *Request) (*Answer, error) {
+func (x *exchange) receive(r *Request) (*Response, error) {
 	req := &http.Request{Method: r.Method}
 	for stray := 0; ; {
 		res, err := http.ReadResponse(x.conn.r, req)
@@ -197,16 +197,16 @@
 		if res.StatusCode >= 100 && res.StatusCode < 200 && res.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if r.Belongs != nil && !r.Belongs(res.StatusCode, res.Header) {
+		if r.Matches != nil && !r.Matches(res.StatusCode, res.Header) {
 			if stray++; stray > strayAnswers || res.ContentLength < 0 {
-				return nil, fmt.Errorf("%w: status %d", ErrForeign, res.StatusCode)
+				return nil, fmt.Errorf("%w: status %d", ErrUnexpectedResponse, res.StatusCode)
 			}
 			if _, err := io.Copy(io.Discard, res.Body); err != nil {
 				return nil, classify(err)
 			}
 			continue
 		}
-		return &Answer{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &body{res: res, x: x}}, nil
+		return &Response{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &body{res: res, x: x}}, nil
 	}
 }
 
@@ -216,7 +216,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr) || errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("%w: %w", ErrBroken, err)
 	}
-	return fmt.Errorf("%w: %w", ErrForeign, err)
+	return fmt.Errorf("%w: %w", ErrUnexpectedResponse, err)
 }
 
 // body reads an answer's body and gives the connection back at its end.
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -16,10 +16,10 @@
 	ErrNotSent = errors.New("request not sent")
 	// ErrBroken is returned when the connection failed; the target may have run the request.
 	ErrBroken = errors.New("connection broken")
-	// ErrForeign is returned when another request's answer, or no HTTP, came back; the target may have run the request.
-	ErrForeign = errors.New("answer does not belong to the request")
-	// ErrFull is returned when all connections to the target that this instance may open are in use.
-	ErrFull = errors.New("no connection free")
+	// ErrUnexpectedResponse is returned when another request's answer, or no HTTP, came back; the target may have run the request.
+	ErrUnexpectedResponse = errors.New("answer does not belong to the request")
+	// ErrConnectionLimit is returned when all connections to the target that this instance may open are in use.
+	ErrConnectionLimit = errors.New("no connection free")
 )
 
 const (
@@ -61,7 +61,7 @@
 		c.close()
 	}
 	if !p.reserve(addr, limit) {
-		return nil, fmt.Errorf("%w: %w: %s", ErrNotSent, ErrFull, addr)
+		return nil, fmt.Errorf("%w: %w: %s", ErrNotSent, ErrConnectionLimit, addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -73,7 +73,7 @@
 	a, err := p.Do(ctx, &pooler.Request{
 		Address: tg.addr, Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
 		Freshness: freshness, Connections: connections,
-		Belongs: func(_ int, h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get("X-Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -156,10 +156,10 @@
 		bytes string
 		want  error
 	}{
-		"no HTTP":              {"\x00\x01garbage\r\n\r\n", pooler.ErrForeign},
+		"no HTTP":              {"\x00\x01garbage\r\n\r\n", pooler.ErrUnexpectedResponse},
 		"closed at once":       {"", pooler.ErrBroken},
 		"another's answer":     {"HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 0\r\n\r\n", pooler.ErrBroken},
-		"another's, no length": {"HTTP/1.1 200 OK\r\nX-Id: other\r\n\r\nbytes", pooler.ErrForeign},
+		"another's, no length": {"HTTP/1.1 200 OK\r\nX-Id: other\r\n\r\nbytes", pooler.ErrUnexpectedResponse},
 		"body cut":             {"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", pooler.ErrBroken},
 		"chunk cut":            {"HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", pooler.ErrBroken},
 	} {
@@ -225,7 +225,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	_, err := sendLimited(p, tg, "b", 0, 1)
-	quicktest.Check(t, err, quicktest.ErrorIs, pooler.ErrFull)
+	quicktest.Check(t, err, quicktest.ErrorIs, pooler.ErrConnectionLimit)
 	quicktest.Check(t, err, quicktest.ErrorIs, pooler.ErrNotSent)
 	close(release)
 	quicktest.Check(t, <-done, quicktest.IsNil)
