--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -59,7 +59,7 @@
 // start runs each background task in a goroutine of its own. The tasks of the lease holder end with duties.
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
-		New:    func() proto.Message { return &gossiper.Beat{} },
+		NewRequest:    func() proto.Message { return &gossiper.Beat{} },
 		Answer: func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
 		Logger: c.logger,
 	}
--- a/internal/exchanger/server.go
+++ b/internal/exchanger/server.go
@@ -23,8 +23,8 @@
 
 // Server accepts sessions of peers; New and Answer must be set.
 type Server struct {
-	// New returns an empty message to decode a request into.
-	New func() proto.Message
+	// NewRequest returns an empty message to decode a request into.
+	NewRequest func() proto.Message
 	// Answer returns the reply to a request.
 	Answer func(req proto.Message) proto.Message
 	Logger *zap.Logger
@@ -33,7 +33,7 @@
 // ForHandler returns a server of the messages between entry instances of the product's own interface.
 func ForHandler(h Handler, logger *zap.Logger) *Server {
 	return &Server{
-		New:    func() proto.Message { return &messenger.Request{} },
+		NewRequest:    func() proto.Message { return &messenger.Request{} },
 		Answer: func(req proto.Message) proto.Message { return h.Handle(req.(*messenger.Request)) },
 		Logger: logger,
 	}
@@ -75,7 +75,7 @@
 	if err := stream.SetDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return
 	}
-	req := s.New()
+	req := s.NewRequest()
 	if err := protodelim.UnmarshalFrom(bufio.NewReader(stream), req); err != nil {
 		return
 	}
