--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -262,12 +262,12 @@
 		return nil, err
 	}
 	srv := khttp.NewServer(
-		khttp.Listener(networker.TimeListener(networker.LimitListener(lis, connections), c.timeLimits)),
+		khttp.Listener(networker.TimeoutListener(networker.LimitListener(lis, connections), c.timeLimits)),
 		khttp.Endpoint(&url.URL{Scheme: "http", Host: addr}),
 		khttp.Timeout(0),
 	)
-	srv.ReadHeaderTimeout = networker.HeaderMark
-	srv.IdleTimeout = networker.IdleMark
+	srv.ReadHeaderTimeout = networker.HeaderTimeoutSentinel
+	srv.IdleTimeout = networker.IdleTimeoutSentinel
 	srv.ErrorLog = zap.NewStdLog(c.logger)
 	// This bypasses the router of kratos, which redirects paths that are not clean.
 	srv.Handler = h
--- a/internal/networker/timed.go
+++ b/internal/networker/timed.go
@@ -9,22 +9,22 @@
 // Time limits that net/http must be given so that a timed connection knows which one is meant; net/http reads its own
 // fields without a lock, so they cannot change while it serves.
 const (
-	// HeaderMark stands for the time limit of a request's headers.
-	HeaderMark = 24 * time.Hour
-	// IdleMark stands for the time limit of an idle connection.
-	IdleMark = 72 * time.Hour
+	// HeaderTimeoutSentinel stands for the time limit of a request's headers.
+	HeaderTimeoutSentinel = 24 * time.Hour
+	// IdleTimeoutSentinel stands for the time limit of an idle connection.
+	IdleTimeoutSentinel = 72 * time.Hour
 )
 
-// Limits returns how long a client may take for the headers of a request, and how long its connection may be idle.
-type Limits func() (header, idle time.Duration)
+// Timeouts returns how long a client may take for the headers of a request, and how long its connection may be idle.
+type Timeouts func() (header, idle time.Duration)
 
-// TimeListener makes the time limits of an http.Server those that limits returns at the time: its ReadHeaderTimeout must
+// TimeoutListener makes the time limits of an http.Server those that limits returns at the time: its ReadHeaderTimeout must
 // be HeaderMark and its IdleTimeout IdleMark.
-func TimeListener(lis net.Listener, limits Limits) net.Listener { return &timedListener{lis, limits} }
+func TimeoutListener(lis net.Listener, limits Timeouts) net.Listener { return &timedListener{lis, limits} }
 
 type timedListener struct {
 	net.Listener
-	limits Limits
+	limits Timeouts
 }
 
 // Accept returns the next connection.
@@ -41,7 +41,7 @@
 // timedConn translates the marks; a connection on which nothing came yet is idle.
 type timedConn struct {
 	net.Conn
-	limits Limits
+	limits Timeouts
 	silent atomic.Bool
 }
 
@@ -61,11 +61,11 @@
 func (c *timedConn) SetReadDeadline(t time.Time) error {
 	header, idle := c.limits()
 	switch left := time.Until(t); {
-	case left > (HeaderMark+IdleMark)/2:
+	case left > (HeaderTimeoutSentinel+IdleTimeoutSentinel)/2:
 		t = time.Now().Add(idle)
-	case left > HeaderMark/2 && c.silent.Load():
+	case left > HeaderTimeoutSentinel/2 && c.silent.Load():
 		t = time.Now().Add(max(header, idle))
-	case left > HeaderMark/2:
+	case left > HeaderTimeoutSentinel/2:
 		t = time.Now().Add(header)
 	}
 	return c.Conn.SetReadDeadline(t)
--- a/internal/networker/timed_test.go
+++ b/internal/networker/timed_test.go
@@ -26,10 +26,10 @@
 		return time.Duration(header.Load()) * time.Millisecond, time.Duration(idle.Load()) * time.Millisecond
 	}
 	srv := &http.Server{
-		ReadHeaderTimeout: networker.HeaderMark, IdleTimeout: networker.IdleMark,
+		ReadHeaderTimeout: networker.HeaderTimeoutSentinel, IdleTimeout: networker.IdleTimeoutSentinel,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) }),
 	}
-	go srv.Serve(networker.TimeListener(lis, limits))
+	go srv.Serve(networker.TimeoutListener(lis, limits))
 	t.Cleanup(func() { srv.Close() })
 	return lis.Addr().String(), header, idle
 }
