--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -167,7 +167,7 @@
 		s.truncate(p.Retention)
 	}
 	p.signal()
-	writeJSON(w, provider.AppendAnswer{Offset: identifier.Offset(offset)})
+	writeJSON(w, provider.AppendResponse{Offset: identifier.Offset(offset)})
 }
 
 const readBatch = 1000
@@ -187,7 +187,7 @@
 			http.Error(w, "platform down", http.StatusServiceUnavailable)
 			return
 		}
-		if identifier.Offset(from) != provider.Oldest && identifier.Offset(from) < page.First {
+		if identifier.Offset(from) != provider.OldestOffset && identifier.Offset(from) < page.First {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -210,7 +210,7 @@
 	defer p.mu.Unlock()
 	s := p.stream(name)
 	start := s.first
-	if identifier.Offset(from) != provider.Oldest {
+	if identifier.Offset(from) != provider.OldestOffset {
 		start = int(min(from, uint64(s.end())))
 	}
 	page := provider.Page{First: identifier.Offset(s.first), Offset: identifier.Offset(start), End: identifier.Offset(s.end())}
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -42,7 +42,7 @@
 	time.Sleep(time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if from == provider.Oldest {
+	if from == provider.OldestOffset {
 		from = 0
 	}
 	return provider.Page{Offset: from, End: identifier.Offset(len(l.records)), Records: l.records[from:]}, nil
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -26,8 +26,8 @@
 
 const maximumAnswerBytes = 64 << 20
 
-// Oldest stands for the oldest retained offset in a read.
-const Oldest = identifier.Offset(1<<64 - 1)
+// OldestOffset stands for the oldest retained offset in a read.
+const OldestOffset = identifier.Offset(1<<64 - 1)
 
 // Page is a run of records read from a stream.
 type Page struct {
@@ -40,8 +40,8 @@
 // AppendRequest is the body of an append.
 type AppendRequest struct{ Records [][]byte }
 
-// AppendAnswer gives the offset of the first appended record.
-type AppendAnswer struct{ Offset identifier.Offset }
+// AppendResponse gives the offset of the first appended record.
+type AppendResponse struct{ Offset identifier.Offset }
 
 // Instance is one row of the platform's lagging list.
 type Instance struct {
@@ -75,8 +75,8 @@
 	Slots                  int64
 }
 
-// TeamFigures is one team's usage in a window.
-type TeamFigures struct {
+// TeamTotals is one team's usage in a window.
+type TeamTotals struct {
 	Team         string
 	Requests     int64
 	Refused      int64
@@ -90,7 +90,7 @@
 	Window uint64
 	Sender string
 	Fence  identifier.Fence
-	Teams  []TeamFigures
+	Teams  []TeamTotals
 }
 
 // Provider is a client of the platform; HTTP must be set.
@@ -101,7 +101,7 @@
 
 // Append adds records to a stream and returns the offset of the first; on ErrUnavailable the outcome is unknown.
 func (p *Provider) Append(ctx context.Context, stream identifier.StreamID, records [][]byte) (identifier.Offset, error) {
-	var answer AppendAnswer
+	var answer AppendResponse
 	err := p.call(ctx, http.MethodPost, "/log/"+url.PathEscape(string(stream)), AppendRequest{Records: records}, &answer)
 	return answer.Offset, err
 }
--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -99,10 +99,10 @@
 	return err
 }
 
-func figures(w *recorder.Window) []provider.TeamFigures {
-	list := make([]provider.TeamFigures, len(w.Teams))
+func figures(w *recorder.Window) []provider.TeamTotals {
+	list := make([]provider.TeamTotals, len(w.Teams))
 	for i, u := range w.Teams {
-		list[i] = provider.TeamFigures{
+		list[i] = provider.TeamTotals{
 			Team: u.Team, Requests: u.Requests, Refused: u.Refused, Cut: u.Cut,
 			PromptTokens: u.PromptTokens, OutputTokens: u.OutputTokens,
 		}
--- a/internal/reporter/reporter_test.go
+++ b/internal/reporter/reporter_test.go
@@ -25,7 +25,7 @@
 func report(platform *imitator.Platform, teams []*recorder.TeamUsage) int {
 	r := provider.Report{Fence: 1}
 	for _, u := range teams {
-		r.Teams = append(r.Teams, provider.TeamFigures{Team: u.Team, Requests: u.Requests})
+		r.Teams = append(r.Teams, provider.TeamTotals{Team: u.Team, Requests: u.Requests})
 	}
 	data, _ := json.Marshal(r)
 	platform.Handler().ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/reports", bytes.NewReader(data)))
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -304,8 +304,8 @@
 }
 
 // reported returns the sum of all reported windows and the number of windows.
-func (s *site) reported() (map[string]provider.TeamFigures, int) {
-	sum := map[string]provider.TeamFigures{}
+func (s *site) reported() (map[string]provider.TeamTotals, int) {
+	sum := map[string]provider.TeamTotals{}
 	reports := s.platform.Reports()
 	for _, r := range reports {
 		for _, f := range r.Teams {
--- a/internal/tailer/bootstrap.go
+++ b/internal/tailer/bootstrap.go
@@ -15,7 +15,7 @@
 
 // bootstrap reads all retained records, restores the newest checkpoint among them and applies the rest.
 func (t *Tailer) bootstrap(ctx context.Context) error {
-	page, started, err := t.read(ctx, provider.Oldest, 0)
+	page, started, err := t.read(ctx, provider.OldestOffset, 0)
 	if err != nil {
 		return err
 	}
--- a/internal/tailer/tailer_test.go
+++ b/internal/tailer/tailer_test.go
@@ -49,7 +49,7 @@
 	if l.down {
 		return provider.Page{}, provider.ErrUnavailable
 	}
-	if from == provider.Oldest {
+	if from == provider.OldestOffset {
 		from = identifier.Offset(l.first)
 	}
 	if int(from) < l.first {
