--- a/internal/commander/trace.go
+++ b/internal/commander/trace.go
@@ -41,7 +41,7 @@
 	}
 	tracer.Sort(lines)
 	trace, err := tracer.Find(lines, q.Positional.RequestID)
-	if errors.Is(err, tracer.ErrUnknown) {
+	if errors.Is(err, tracer.ErrUnknownRequest) {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	if err != nil {
--- a/internal/tracer/line.go
+++ b/internal/tracer/line.go
@@ -22,21 +22,21 @@
 	Fields map[string]any
 }
 
-// Unreadable is a line that is no log line.
-type Unreadable struct {
+// UnreadableLine is a line that is no log line.
+type UnreadableLine struct {
 	File   string
 	Number int
 	Err    error
 }
 
 // String says which line it is and why.
-func (u Unreadable) String() string { return fmt.Sprintf("%s:%d: %v", u.File, u.Number, u.Err) }
+func (u UnreadableLine) String() string { return fmt.Sprintf("%s:%d: %v", u.File, u.Number, u.Err) }
 
 // Read returns the log lines of a file and the lines that cannot be read. What stands before the JSON of a line, such as
 // the time that a collector adds, is skipped; lines without JSON are of other programs and left out.
-func Read(r io.Reader, file string) ([]Line, []Unreadable, error) {
+func Read(r io.Reader, file string) ([]Line, []UnreadableLine, error) {
 	var lines []Line
-	var bad []Unreadable
+	var bad []UnreadableLine
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, longestLine)
 	for n := 1; scanner.Scan(); n++ {
@@ -46,7 +46,7 @@
 		}
 		line, err := parse(scanner.Bytes()[start:])
 		if err != nil {
-			bad = append(bad, Unreadable{file, n, err})
+			bad = append(bad, UnreadableLine{file, n, err})
 			continue
 		}
 		lines = append(lines, line)
--- a/internal/tracer/trace.go
+++ b/internal/tracer/trace.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ErrUnknown is returned when no line names the request.
-var ErrUnknown = errors.New("no line names the request")
+// ErrUnknownRequest is returned when no line names the request.
+var ErrUnknownRequest = errors.New("no line names the request")
 
 // beliefTime is how long before a request what was believed of its targets is shown: entries of targets that are gone
 // lapse within some seconds.
@@ -21,11 +21,11 @@
 // Trace is the way of one request.
 type Trace struct {
 	Request string
-	// Own are the lines that name the request.
-	Own []Line
-	// Beliefs are the lines that tell what the instance believed of the request's targets, of the configuration and of the
+	// RequestLines are the lines that name the request.
+	RequestLines []Line
+	// StateLines are the lines that tell what the instance believed of the request's targets, of the configuration and of the
 	// store, each the last one before the request and all during it.
-	Beliefs []Line
+	StateLines []Line
 }
 
 // beliefs are the messages that change what an instance believes, with the field that names the matter.
@@ -44,7 +44,7 @@
 		if l.Text("RequestID") != request {
 			continue
 		}
-		t.Own = append(t.Own, l)
+		t.RequestLines = append(t.RequestLines, l)
 		instances[l.Instance] = true
 		for _, name := range []string{"Target", "PromptTarget", "AnswerTarget"} {
 			if id := l.Text(name); id != "" {
@@ -52,12 +52,12 @@
 			}
 		}
 	}
-	if len(t.Own) == 0 {
-		return nil, fmt.Errorf("%w: %s", ErrUnknown, request)
+	if len(t.RequestLines) == 0 {
+		return nil, fmt.Errorf("%w: %s", ErrUnknownRequest, request)
 	}
 	start, end := t.span()
 	// Where there was no target, what became of all of them is the cause.
-	all := t.Own[len(t.Own)-1].Text("Reason") == "NoTarget"
+	all := t.RequestLines[len(t.RequestLines)-1].Text("Reason") == "NoTarget"
 	last := map[string]Line{}
 	for _, l := range lines {
 		matter, ok := beliefs[l.Message]
@@ -70,21 +70,21 @@
 			last[strings.Fields(l.Message)[0]+about] = l
 			continue
 		}
-		t.Beliefs = append(t.Beliefs, l)
+		t.StateLines = append(t.StateLines, l)
 	}
 	for _, l := range last {
 		if l.Message == "configuration in force" || l.Message == "store lost" || start.Sub(l.Time) <= beliefTime {
-			t.Beliefs = append(t.Beliefs, l)
+			t.StateLines = append(t.StateLines, l)
 		}
 	}
-	Sort(t.Beliefs)
+	Sort(t.StateLines)
 	return t, nil
 }
 
 // span is the time from the request's arrival to its last line.
 func (t *Trace) span() (start, end time.Time) {
-	start, end = t.Own[0].Time, t.Own[len(t.Own)-1].Time
-	for _, l := range t.Own {
+	start, end = t.RequestLines[0].Time, t.RequestLines[len(t.RequestLines)-1].Time
+	for _, l := range t.RequestLines {
 		if after, ok := l.Fields["After"].(float64); ok {
 			if arrived := l.Time.Add(-time.Duration(after * float64(time.Second))); arrived.Before(start) {
 				start = arrived
@@ -116,7 +116,7 @@
 
 // Cause says in a sentence how the request ended and why.
 func (t *Trace) Cause() string {
-	end := &t.Own[len(t.Own)-1]
+	end := &t.RequestLines[len(t.RequestLines)-1]
 	switch end.Message {
 	case "request served":
 		if status := end.Text("Status"); status != "" && status != "200" {
@@ -143,13 +143,13 @@
 // Write prints the trace: its cause, its lines and what was believed, with times from the request's arrival.
 func (t *Trace) Write(w io.Writer) error {
 	start, _ := t.span()
-	if _, err := fmt.Fprintf(w, "request %s at %s: %s\n", t.Request, t.Own[0].Instance, t.Cause()); err != nil {
+	if _, err := fmt.Fprintf(w, "request %s at %s: %s\n", t.Request, t.RequestLines[0].Instance, t.Cause()); err != nil {
 		return err
 	}
 	for _, part := range []struct {
 		title string
 		lines []Line
-	}{{"decisions", t.Own}, {"beliefs", t.Beliefs}} {
+	}{{"decisions", t.RequestLines}, {"beliefs", t.StateLines}} {
 		if _, err := fmt.Fprintf(w, "%s:\n", part.title); err != nil {
 			return err
 		}
--- a/internal/tracer/trace_test.go
+++ b/internal/tracer/trace_test.go
@@ -47,7 +47,7 @@
 	quicktest.Check(t, trace.Cause(), quicktest.Equals, "answered 500 by target i-2 itself")
 	trace, err = tracer.Find(lines, "r4")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, trace.Beliefs, quicktest.HasLen, 3, quicktest.Commentf("the configuration and the last of each target"))
+	quicktest.Check(t, trace.StateLines, quicktest.HasLen, 3, quicktest.Commentf("the configuration and the last of each target"))
 	_, err = tracer.Find(lines, "r3")
-	quicktest.Check(t, errors.Is(err, tracer.ErrUnknown), quicktest.IsTrue)
+	quicktest.Check(t, errors.Is(err, tracer.ErrUnknownRequest), quicktest.IsTrue)
 }
