--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -70,7 +70,7 @@
 	once        *http.Client
 	metrics     tally.Scope
 	exporter    *exporter.Exporter
-	box         signaler.Box
+	box         signaler.Mailbox
 	explain     func(identifier.RequestID) []string
 	config      *tailer.Tailer
 	control     *tailer.Tailer
--- a/internal/signaler/box.go
+++ b/internal/signaler/box.go
@@ -8,15 +8,15 @@
 // Event names what happened.
 type Event int
 
-// Box holds the latest value of each event until it is taken; the zero value is empty.
-type Box struct {
+// Mailbox holds the latest value of each event until it is taken; the zero value is empty.
+type Mailbox struct {
 	mu     sync.Mutex
 	events map[Event]any
 	wake   chan struct{}
 }
 
 // Set puts an event in the box and replaces an earlier value of it.
-func (b *Box) Set(event Event, value any) {
+func (b *Mailbox) Set(event Event, value any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.events == nil {
@@ -30,7 +30,7 @@
 }
 
 // Wait takes all events, waiting for the first, or returns the error of ctx.
-func (b *Box) Wait(ctx context.Context) (map[Event]any, error) {
+func (b *Mailbox) Wait(ctx context.Context) (map[Event]any, error) {
 	for {
 		b.mu.Lock()
 		events, wake := b.events, b.wakeChan()
@@ -47,7 +47,7 @@
 	}
 }
 
-func (b *Box) wakeChan() chan struct{} {
+func (b *Mailbox) wakeChan() chan struct{} {
 	if b.wake == nil {
 		b.wake = make(chan struct{}, 1)
 	}
