--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -59,9 +59,9 @@
 // start runs each background task in a goroutine of its own. The tasks of the lease holder end with duties.
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
-		NewRequest:    func() proto.Message { return &gossiper.Beat{} },
-		Answer: func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
-		Logger: c.logger,
+		NewRequest: func() proto.Message { return &gossiper.Beat{} },
+		Answer:     func(req proto.Message) proto.Message { return c.peers.Handle(req.(*gossiper.Beat)) },
+		Logger:     c.logger,
 	}
 	targets := c.newFollower(streamTargets, c.platform.Targets, &c.targets, c.copyAge)
 	c.targets.FailingFor = targets.FailingFor
--- a/internal/exchanger/server.go
+++ b/internal/exchanger/server.go
@@ -33,9 +33,9 @@
 // ForHandler returns a server of the messages between entry instances of the product's own interface.
 func ForHandler(h Handler, logger *zap.Logger) *Server {
 	return &Server{
-		NewRequest:    func() proto.Message { return &messenger.Request{} },
-		Answer: func(req proto.Message) proto.Message { return h.Handle(req.(*messenger.Request)) },
-		Logger: logger,
+		NewRequest: func() proto.Message { return &messenger.Request{} },
+		Answer:     func(req proto.Message) proto.Message { return h.Handle(req.(*messenger.Request)) },
+		Logger:     logger,
 	}
 }
 
--- a/internal/networker/timed.go
+++ b/internal/networker/timed.go
@@ -19,8 +19,10 @@
 type Timeouts func() (header, idle time.Duration)
 
 // TimeoutListener makes the time limits of an http.Server those that limits returns at the time: its ReadHeaderTimeout must
-// be HeaderMark and its IdleTimeout IdleMark.
-func TimeoutListener(lis net.Listener, limits Timeouts) net.Listener { return &timedListener{lis, limits} }
+// be HeaderTimeoutSentinel and its IdleTimeout IdleTimeoutSentinel.
+func TimeoutListener(lis net.Listener, limits Timeouts) net.Listener {
+	return &timedListener{lis, limits}
+}
 
 type timedListener struct {
 	net.Listener
