--- a/internal/pooler/doc.go
+++ b/internal/pooler/doc.go
@@ -1,2 +1,5 @@
-// Package pooler keeps HTTP/1.1 connections to targets and sends each request exactly once on one of them.
+// Package pooler keeps a pool of HTTP/1.1 connections to targets.
+//
+// Unlike http.Transport, it never sends a request a second time by itself, and it detects responses that belong to
+// another request on the same connection.
 package pooler
--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -17,54 +17,56 @@
 	"time"
 )
 
-// strayAnswers is how many answers to earlier requests are skipped on a connection before it is given up.
-const strayAnswers = 2
+// maximumStrayResponses is how many responses to earlier requests are skipped before the connection is closed.
+const maximumStrayResponses = 2
 
-// writerWait is how long the end of an answer waits for the writer of its request: longer than a goroutine waits for a
-// processor, and short against any deadline, because a target may answer before it reads a long body.
-const writerWait = 100 * time.Millisecond
+// writeResultTimeout bounds the wait for the result of writing a request once its response has been read. It is longer
+// than a scheduling delay and short compared with any deadline: a target may respond without reading a long body, and
+// then the write may not end.
+const writeResultTimeout = 100 * time.Millisecond
 
-// Request is sent as it stands; Header must hold no header that concerns one connection only.
+// Request is sent unchanged; Header must not contain hop-by-hop headers.
 type Request struct {
 	Address string
 	Method  string
 	URI     string
 	Host    string
 	Header  http.Header
-	// Body is the start of the body, and Rest what follows, if it is not nil, of RestBytes or -1 for a length that is not known.
+	// Body is the start of the body. Rest, if not nil, is the remainder; RestBytes is its length, or -1 if unknown.
 	Body      []byte
 	Rest      io.Reader
 	RestBytes int64
 	// Freshness is how long ago a connection may have been used last; zero: a new connection.
 	Freshness time.Duration
-	// Connections is how many connections to the address may be open at once; zero: any number.
+	// Connections limits the connections to the address that are open at once; zero means no limit.
 	Connections int
-	// Matches tells an answer to this request from one to another request on the same connection.
+	// Matches reports whether a response belongs to this request and not to another one on the same connection; nil
+	// accepts every response.
 	Matches func(status int, h http.Header) bool
 }
 
-// Response is the head of an answer and its body; Body must be closed.
+// Response is the head of a response and its body; Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body; -1: not known.
+	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 }
 
 type conn struct {
 	net.Conn
-	pool   *Pool
-	addr   string
-	r      *bufio.Reader
-	once   sync.Once
-	since  time.Time
-	until  time.Time
-	reused bool
+	pool      *Pool
+	addr      string
+	r         *bufio.Reader
+	once      sync.Once
+	idleSince time.Time
+	expiresAt time.Time
+	reused    bool
 }
 
 func newConn(p *Pool, addr string, nc net.Conn) *conn {
-	return &conn{Conn: nc, pool: p, addr: addr, r: bufio.NewReaderSize(nc, readBufferBytes), until: time.Now().Add(defaultIdle)}
+	return &conn{Conn: nc, pool: p, addr: addr, r: bufio.NewReaderSize(nc, readBufferBytes), expiresAt: time.Now().Add(defaultIdle)}
 }
 
 func (c *conn) close() {
@@ -74,16 +76,16 @@
 	})
 }
 
-// Do sends a request once and returns the head of its answer.
+// Do sends a request once and returns the head of its response.
 //
-// The connection is closed when ctx ends, also while the body is being read.
+// When ctx ends, the connection is closed, even while the body is being read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.get(ctx, r.Address, r.Freshness, r.Connections)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, c.close)
-	x := &exchange{conn: c, stop: stop, sent: make(chan error, 1)}
+	x := &exchange{conn: c, stop: stop, written: make(chan error, 1)}
 	head, err := r.head()
 	if err != nil {
 		x.abort()
@@ -92,19 +94,19 @@
 	go func() {
 		err := r.write(c, head)
 		if err != nil && r.Rest != nil {
-			c.close() // The target must not wait for a body that ends here.
+			c.close() // Otherwise the target would wait for the remainder of the body.
 		}
-		x.sent <- err
+		x.written <- err
 	}()
-	answer, err := x.receive(r)
+	response, err := x.receive(r)
 	if err != nil {
 		x.abort()
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// head is the request line and headers.
+// head returns the request line and headers.
 func (r *Request) head() ([]byte, error) {
 	if _, err := url.ParseRequestURI(r.URI); err != nil {
 		return nil, err
@@ -126,7 +128,7 @@
 	return b.Bytes(), nil
 }
 
-// write sends the request; a rest that ends too soon gives an error.
+// write sends the request; it returns an error if Rest is shorter than RestBytes.
 func (r *Request) write(w io.Writer, head []byte) error {
 	if r.Rest == nil || r.RestBytes >= 0 {
 		if _, err := w.Write(append(head, r.Body...)); err != nil || r.Rest == nil {
@@ -149,15 +151,17 @@
 	return err
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	conn *conn
+	// stop detaches the connection from the request's context; it returns false if the context has ended already.
 	stop func() bool
-	sent chan error
-	once sync.Once
+	// written receives the result of writing the request.
+	written chan error
+	once    sync.Once
 }
 
-// abort closes the connection.
+// abort closes the connection unless the exchange has ended.
 func (x *exchange) abort() {
 	x.once.Do(func() {
 		x.stop()
@@ -165,28 +169,31 @@
 	})
 }
 
-// finish keeps the connection if the whole request went out and nothing is left to read.
+// finish returns the connection to the pool if the whole request was written and no data is left to read; otherwise it
+// closes the connection.
 func (x *exchange) finish(keep time.Duration) {
 	x.once.Do(func() {
-		if !x.stop() || keep <= 0 || x.conn.r.Buffered() > 0 || !x.written() {
+		if !x.stop() || keep <= 0 || x.conn.r.Buffered() > 0 || !x.requestWritten() {
 			x.conn.close()
 			return
 		}
-		x.conn.until = time.Now().Add(keep)
+		x.conn.expiresAt = time.Now().Add(keep)
 		x.conn.pool.put(x.conn)
 	})
 }
 
-// written tells whether the whole request went out; its writer may report that a little after the answer's end was read.
-func (x *exchange) written() bool {
+// requestWritten reports whether the whole request was written. The writing goroutine may report this shortly after the
+// end of the response has been read.
+func (x *exchange) requestWritten() bool {
 	select {
-	case err := <-x.sent:
+	case err := <-x.written:
 		return err == nil
-	case <-time.After(writerWait):
+	case <-time.After(writeResultTimeout):
 		return false
 	}
 }
 
+// receive reads the head of the response to r, skipping informational responses and a few responses to earlier requests.
 func (x *exchange) receive(r *Request) (*Response, error) {
 	req := &http.Request{Method: r.Method}
 	for stray := 0; ; {
@@ -198,7 +205,7 @@
 			continue
 		}
 		if r.Matches != nil && !r.Matches(res.StatusCode, res.Header) {
-			if stray++; stray > strayAnswers || res.ContentLength < 0 {
+			if stray++; stray > maximumStrayResponses || res.ContentLength < 0 {
 				return nil, fmt.Errorf("%w: status %d", ErrUnexpectedResponse, res.StatusCode)
 			}
 			if _, err := io.Copy(io.Discard, res.Body); err != nil {
@@ -206,11 +213,12 @@
 			}
 			continue
 		}
-		return &Response{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &body{res: res, x: x}}, nil
+		return &Response{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &responseBody{res: res, x: x}}, nil
 	}
 }
 
-// classify tells bytes that are no HTTP from a connection that broke.
+// classify wraps a read error: in ErrBroken if the connection failed, and in ErrUnexpectedResponse if the received bytes
+// are not HTTP.
 func classify(err error) error {
 	var netErr net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &netErr) || errors.Is(err, net.ErrClosed) {
@@ -219,14 +227,14 @@
 	return fmt.Errorf("%w: %w", ErrUnexpectedResponse, err)
 }
 
-// body reads an answer's body and gives the connection back at its end.
-type body struct {
+// responseBody reads the body of a response and returns the connection to the pool at its end.
+type responseBody struct {
 	res *http.Response
 	x   *exchange
 }
 
 // Read returns io.EOF only after the whole body.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.res.Body.Read(p)
 	switch {
 	case err == io.EOF:
@@ -243,12 +251,12 @@
 }
 
 // Close closes the connection unless the whole body was read.
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	b.x.abort()
 	return nil
 }
 
-// keepAlive is how long the target keeps the connection, less a margin.
+// keepAlive returns how long to keep the connection idle: the target's own timeout less a margin.
 func keepAlive(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -12,33 +12,34 @@
 
 // Errors of an exchange.
 var (
-	// ErrNotSent is returned when not a byte of the request left this process.
+	// ErrNotSent is returned when no byte of the request was sent.
 	ErrNotSent = errors.New("request not sent")
 	// ErrBroken is returned when the connection failed; the target may have run the request.
 	ErrBroken = errors.New("connection broken")
-	// ErrUnexpectedResponse is returned when another request's answer, or no HTTP, came back; the target may have run the request.
-	ErrUnexpectedResponse = errors.New("answer does not belong to the request")
-	// ErrConnectionLimit is returned when all connections to the target that this instance may open are in use.
-	ErrConnectionLimit = errors.New("no connection free")
+	// ErrUnexpectedResponse is returned when the target sent the response to another request, or data that is not HTTP;
+	// the target may have run the request.
+	ErrUnexpectedResponse = errors.New("response does not match the request")
+	// ErrConnectionLimit is returned when this instance has reached its limit of open connections to the target.
+	ErrConnectionLimit = errors.New("connection limit reached")
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection, which takes some milliseconds where the target lives; a lost first
-	// packet is sent again only after a second, so nothing comes of a longer wait.
+	// dialTimeout bounds connection setup, which takes a few milliseconds if the target is up. A lost SYN is
+	// retransmitted only after a second, so a slightly longer timeout would not help.
 	dialTimeout = 200 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the target names no time.
+	// defaultIdle is how long an idle connection is kept if the target sends no Keep-Alive timeout.
 	defaultIdle = 4 * time.Second
-	// idleMargin is how much sooner than the target a connection is closed here.
+	// idleMargin is how long before the target's own timeout an idle connection is closed.
 	idleMargin = 500 * time.Millisecond
-	// sweepPause is how often idle connections are checked.
-	sweepPause = time.Second
-	// readBufferBytes is the buffer of each connection.
+	// sweepInterval is how often idle connections are checked.
+	sweepInterval = time.Second
+	// readBufferBytes is the size of the read buffer of each connection.
 	readBufferBytes = 8 << 10
 )
 
-// Pool keeps connections by address; the zero value dials TCP and is ready.
+// Pool keeps idle connections by address; the zero value is ready to use and dials TCP.
 type Pool struct {
-	// Dial opens a connection; nil stands for TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
@@ -46,16 +47,16 @@
 	open map[string]int
 }
 
-// get returns an idle connection that was used no longer than freshness ago, or opens one.
+// get returns a connection that has been idle for at most maximumIdle, or opens a new one.
 //
-// No more than limit connections to the address are open at once, if limit is more than zero.
-func (p *Pool) get(ctx context.Context, addr string, freshness time.Duration, limit int) (*conn, error) {
+// If limit is positive, at most limit connections to the address are open at once.
+func (p *Pool) get(ctx context.Context, addr string, maximumIdle time.Duration, limit int) (*conn, error) {
 	for {
-		c := p.takeIdle(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.reused = true; time.Since(c.since) <= freshness && time.Now().Before(c.until) && c.quiet() {
+		if c.reused = true; time.Since(c.idleSince) <= maximumIdle && time.Now().Before(c.expiresAt) && c.healthy() {
 			return c, nil
 		}
 		c.close()
@@ -78,12 +79,13 @@
 }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
-	// Probes of a second find a silent peer on an idle connection.
+	// Keep-alive probes every second detect a peer that went silent while the connection was idle.
 	d := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}}
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-func (p *Pool) takeIdle(addr string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -95,6 +97,7 @@
 	return c
 }
 
+// reserve counts a connection to addr as open, unless the limit is reached.
 func (p *Pool) reserve(addr string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,6 +111,7 @@
 	return true
 }
 
+// release undoes reserve.
 func (p *Pool) release(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,20 +120,20 @@
 	}
 }
 
-// put keeps a connection for the next request.
+// put adds a connection to the idle connections.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = map[string][]*conn{}
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Sweep closes idle connections that have ended or are past their time, until ctx ends.
+// Sweep closes idle connections that the target has closed or that have expired, until ctx ends.
 func (p *Pool) Sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepPause)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -137,23 +141,24 @@
 			return
 		case <-ticker.C:
 		}
-		for _, c := range p.expired() {
+		for _, c := range p.removeExpired() {
 			c.close()
 		}
 	}
 }
 
-func (p *Pool) expired() []*conn {
+// removeExpired removes the expired and closed connections from the idle ones and returns them.
+func (p *Pool) removeExpired() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []*conn
+	var expired []*conn
 	for addr, list := range p.idle {
 		var kept []*conn
 		for _, c := range list {
-			if time.Now().Before(c.until) && c.quiet() {
+			if time.Now().Before(c.expiresAt) && c.healthy() {
 				kept = append(kept, c)
 			} else {
-				out = append(out, c)
+				expired = append(expired, c)
 			}
 		}
 		if len(kept) == 0 {
@@ -162,11 +167,11 @@
 		}
 		p.idle[addr] = kept
 	}
-	return out
+	return expired
 }
 
-// quiet tells that an idle connection is open and that nothing was sent on it unasked.
-func (c *conn) quiet() bool {
+// healthy reports whether an idle connection is open and has received no unsolicited data.
+func (c *conn) healthy() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok || c.r.Buffered() > 0 {
 		return c.r.Buffered() == 0
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -17,17 +17,17 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/pooler"
 )
 
-// answer is how a target treats one connection's requests: it gets the request's number on the connection.
-type answer func(conn net.Conn, r *http.Request, n int)
+// handler responds to a request; n counts the requests on the connection, from zero.
+type handler func(conn net.Conn, r *http.Request, n int)
 
-// target listens on loopback and counts connections and requests.
+// target listens on the loopback interface and counts connections and requests.
 type target struct {
 	addr     string
 	conns    atomic.Int64
 	requests atomic.Int64
 }
 
-func listen(t *testing.T, f answer) *target {
+func listen(t *testing.T, f handler) *target {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
 	t.Cleanup(func() { lis.Close() })
@@ -45,7 +45,7 @@
 	return tg
 }
 
-func (tg *target) serve(conn net.Conn, f answer) {
+func (tg *target) serve(conn net.Conn, f handler) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for n := 0; ; n++ {
@@ -59,20 +59,20 @@
 	}
 }
 
-func reply(conn net.Conn, id, body string) {
+func respond(conn net.Conn, id, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func send(p *pooler.Pool, tg *target, id string, freshness time.Duration) (string, error) {
-	return sendLimited(p, tg, id, freshness, 0)
+func send(p *pooler.Pool, tg *target, id string, maximumIdle time.Duration) (string, error) {
+	return sendLimited(p, tg, id, maximumIdle, 0)
 }
 
-func sendLimited(p *pooler.Pool, tg *target, id string, freshness time.Duration, connections int) (string, error) {
+func sendLimited(p *pooler.Pool, tg *target, id string, maximumIdle time.Duration, connections int) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	a, err := p.Do(ctx, &pooler.Request{
 		Address: tg.addr, Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Freshness: freshness, Connections: connections,
+		Freshness: maximumIdle, Connections: connections,
 		Matches: func(_ int, h http.Header) bool { return h.Get("X-Id") == id },
 	})
 	if err != nil {
@@ -83,8 +83,8 @@
 	return string(body), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
-	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) { reply(conn, r.Header.Get("X-Id"), "ok") })
+func TestConnectionsAreReused(t *testing.T) {
+	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) { respond(conn, r.Header.Get("X-Id"), "ok") })
 	p := &pooler.Pool{}
 	for i := range 3 {
 		body, err := send(p, tg, fmt.Sprint(i), time.Minute)
@@ -94,23 +94,23 @@
 	quicktest.Assert(t, tg.conns.Load(), quicktest.Equals, int64(1))
 	_, err := send(p, tg, "fresh", 0)
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Assert(t, tg.conns.Load(), quicktest.Equals, int64(2), quicktest.Commentf("a request that runs once goes on a new connection"))
+	quicktest.Assert(t, tg.conns.Load(), quicktest.Equals, int64(2), quicktest.Commentf("a request that must run only once needs a new connection"))
 }
 
-// lateWriter reports each write some time after its bytes went out, as a goroutine that waits for a processor does.
-type lateWriter struct{ net.Conn }
+// slowWriter returns from each write some time after the bytes were sent, like a goroutine that is not scheduled at once.
+type slowWriter struct{ net.Conn }
 
-func (c lateWriter) Write(p []byte) (int, error) {
+func (c slowWriter) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	time.Sleep(20 * time.Millisecond)
 	return n, err
 }
 
-func TestConnectionIsKeptWhenItsWriterReportsLate(t *testing.T) {
-	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) { reply(conn, r.Header.Get("X-Id"), "ok") })
+func TestConnectionIsReusedAfterSlowWrite(t *testing.T) {
+	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) { respond(conn, r.Header.Get("X-Id"), "ok") })
 	p := &pooler.Pool{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-		return lateWriter{conn}, err
+		return slowWriter{conn}, err
 	}}
 	for i := range 3 {
 		_, err := send(p, tg, fmt.Sprint(i), time.Minute)
@@ -121,7 +121,7 @@
 
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) {
-		reply(conn, r.Header.Get("X-Id"), "ok")
+		respond(conn, r.Header.Get("X-Id"), "ok")
 		conn.Close()
 	})
 	p := &pooler.Pool{}
@@ -133,15 +133,15 @@
 	quicktest.Assert(t, tg.requests.Load(), quicktest.Equals, int64(3))
 }
 
-func TestLateAnswerGoesToNobody(t *testing.T) {
-	// Each answer but the first is preceded by a second copy of the one before.
+func TestStrayResponsesAreSkipped(t *testing.T) {
+	// Every response except the first is preceded by a duplicate response to the previous request.
 	last := ""
 	tg := listen(t, func(conn net.Conn, r *http.Request, n int) {
 		if n > 0 {
-			reply(conn, last, "late")
+			respond(conn, last, "late")
 		}
 		last = r.Header.Get("X-Id")
-		reply(conn, last, "own "+last)
+		respond(conn, last, "own "+last)
 	})
 	p := &pooler.Pool{}
 	for _, id := range []string{"a", "b", "c"} {
@@ -151,17 +151,17 @@
 	}
 }
 
-func TestForeignAnswers(t *testing.T) {
+func TestUnexpectedResponses(t *testing.T) {
 	for name, tc := range map[string]struct {
 		bytes string
 		want  error
 	}{
-		"no HTTP":              {"\x00\x01garbage\r\n\r\n", pooler.ErrUnexpectedResponse},
-		"closed at once":       {"", pooler.ErrBroken},
-		"another's answer":     {"HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 0\r\n\r\n", pooler.ErrBroken},
-		"another's, no length": {"HTTP/1.1 200 OK\r\nX-Id: other\r\n\r\nbytes", pooler.ErrUnexpectedResponse},
-		"body cut":             {"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", pooler.ErrBroken},
-		"chunk cut":            {"HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", pooler.ErrBroken},
+		"not HTTP":                 {"\x00\x01garbage\r\n\r\n", pooler.ErrUnexpectedResponse},
+		"closed without response":  {"", pooler.ErrBroken},
+		"other request, closed":    {"HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 0\r\n\r\n", pooler.ErrBroken},
+		"other request, no length": {"HTTP/1.1 200 OK\r\nX-Id: other\r\n\r\nbytes", pooler.ErrUnexpectedResponse},
+		"truncated body":           {"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 10\r\n\r\nhalf", pooler.ErrBroken},
+		"truncated chunk":          {"HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", pooler.ErrBroken},
 	} {
 		tg := listen(t, func(conn net.Conn, _ *http.Request, _ int) {
 			io.WriteString(conn, tc.bytes)
@@ -169,11 +169,11 @@
 		})
 		_, err := send(&pooler.Pool{}, tg, "a", 0)
 		quicktest.Check(t, err, quicktest.ErrorIs, tc.want, quicktest.Commentf(name))
-		quicktest.Check(t, tg.requests.Load(), quicktest.Equals, int64(1), quicktest.Commentf("%s: sent again", name))
+		quicktest.Check(t, tg.requests.Load(), quicktest.Equals, int64(1), quicktest.Commentf("%s: must be sent once", name))
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
 	lis.Close()
@@ -181,8 +181,9 @@
 	quicktest.Assert(t, err, quicktest.ErrorIs, pooler.ErrNotSent)
 }
 
-// TestDarkTarget answers targets that fell silent: the request must reach another one within the promised latency.
-func TestDarkTarget(t *testing.T) {
+// TestUnresponsiveTarget checks that dialing a target that does not respond fails early enough for the request to be sent
+// to another target within the promised latency.
+func TestUnresponsiveTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pooler.Pool{Dial: func(ctx context.Context, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }}
 		start := time.Now()
@@ -192,7 +193,7 @@
 	})
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	closed := make(chan struct{})
 	tg := listen(t, func(conn net.Conn, _ *http.Request, _ int) {
 		conn.Read(make([]byte, 1))
@@ -205,15 +206,15 @@
 	select {
 	case <-closed:
 	case <-time.After(400 * time.Millisecond):
-		t.Fatal("the target still works for a client that has left")
+		t.Fatal("the connection to the target stays open after the client disconnected")
 	}
 }
 
-func TestLimit(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	tg := listen(t, func(conn net.Conn, r *http.Request, _ int) {
 		<-release
-		reply(conn, r.Header.Get("X-Id"), "ok")
+		respond(conn, r.Header.Get("X-Id"), "ok")
 	})
 	p := &pooler.Pool{}
 	done := make(chan error)
