--- a/internal/exchanger/client.go
+++ b/internal/exchanger/client.go
@@ -17,12 +17,13 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/messenger"
 )
 
-// ErrUnreachable is returned when a peer gave no reply in time.
+// ErrUnreachable is returned when a peer cannot be reached or sends no reply in time.
 var ErrUnreachable = errors.New("peer unreachable")
 
+// defaultCallTimeout bounds a call whose context has no deadline.
 const defaultCallTimeout = time.Second
 
-// Client calls peers and keeps one session to each; Dial must be set.
+// Client sends requests to peers and keeps one yamux session to each; Dial must be set.
 type Client struct {
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Logger *zap.Logger
@@ -40,7 +41,7 @@
 	return reply, nil
 }
 
-// Exchange sends a message to the peer at addr and fills reply; errors wrap ErrUnreachable.
+// Exchange sends req to the peer at addr and decodes its answer into reply; errors wrap ErrUnreachable.
 func (c *Client) Exchange(ctx context.Context, addr string, req, reply proto.Message) error {
 	session, err := c.session(ctx, addr)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// Close ends all sessions.
+// Close closes all sessions.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,6 +64,8 @@
 	c.sessions = nil
 }
 
+// session returns the open session to addr, or opens one. If several goroutines open one at the same time, the first to
+// be stored is kept.
 func (c *Client) session(ctx context.Context, addr string) (*yamux.Session, error) {
 	c.mu.Lock()
 	s := c.sessions[addr]
@@ -74,16 +77,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err = yamux.Client(conn, config(c.Logger))
+	s, err = yamux.Client(conn, sessionConfig(c.Logger))
 	if err != nil {
 		conn.Close()
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old := c.sessions[addr]; old != nil && !old.IsClosed() {
+	if existing := c.sessions[addr]; existing != nil && !existing.IsClosed() {
 		s.Close()
-		return old, nil
+		return existing, nil
 	}
 	if c.sessions == nil {
 		c.sessions = map[string]*yamux.Session{}
@@ -92,6 +95,7 @@
 	return s, nil
 }
 
+// drop closes a session after a failed exchange, so that the next call opens a new one.
 func (c *Client) drop(addr string, s *yamux.Session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,6 +105,7 @@
 	s.Close()
 }
 
+// exchange sends req on a stream of its own and reads the reply.
 func exchange(ctx context.Context, session *yamux.Session, req, reply proto.Message) error {
 	stream, err := session.OpenStream()
 	if err != nil {
@@ -120,7 +125,7 @@
 	return protodelim.UnmarshalFrom(bufio.NewReader(stream), reply)
 }
 
-func config(logger *zap.Logger) *yamux.Config {
+func sessionConfig(logger *zap.Logger) *yamux.Config {
 	if logger == nil {
 		logger = zap.NewNop()
 	}
--- a/internal/exchanger/doc.go
+++ b/internal/exchanger/doc.go
@@ -1,2 +1,2 @@
-// Package exchanger carries protobuf requests and replies between entry instances over yamux.
+// Package exchanger carries protobuf requests and replies between entry instances over yamux sessions.
 package exchanger
--- a/internal/exchanger/server.go
+++ b/internal/exchanger/server.go
@@ -14,14 +14,15 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/messenger"
 )
 
+// streamTimeout bounds reading a request and writing its reply, including the time to handle it.
 const streamTimeout = 5 * time.Second
 
-// Handler answers a peer's request.
+// Handler handles a peer's request and returns the reply.
 type Handler interface {
 	Handle(req *messenger.Request) *messenger.Reply
 }
 
-// Server accepts sessions of peers; New and Answer must be set.
+// Server accepts yamux sessions from peers; NewRequest and Answer must be set.
 type Server struct {
 	// NewRequest returns an empty message to decode a request into.
 	NewRequest func() proto.Message
@@ -30,7 +31,7 @@
 	Logger *zap.Logger
 }
 
-// ForHandler returns a server of the messages between entry instances of the product's own interface.
+// ForHandler returns a server of messenger requests, which h handles.
 func ForHandler(h Handler, logger *zap.Logger) *Server {
 	return &Server{
 		NewRequest: func() proto.Message { return &messenger.Request{} },
@@ -53,7 +54,7 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
-	session, err := yamux.Server(conn, config(s.Logger))
+	session, err := yamux.Server(conn, sessionConfig(s.Logger))
 	if err != nil {
 		conn.Close()
 		return
