--- a/internal/networker/doc.go
+++ b/internal/networker/doc.go
@@ -1,2 +1,2 @@
-// Package networker opens listeners and connections, on TCP or as the test's network does.
+// Package networker opens listeners and connections; tests replace TCP with a network of their own.
 package networker
--- a/internal/networker/limit.go
+++ b/internal/networker/limit.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// limited is a listener that accepts while a slot is free.
-type limited struct {
+// limitListener accepts a connection only while a slot is free.
+type limitListener struct {
 	net.Listener
 	slots  chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-// Accept waits for a free slot and a connection.
-func (l *limited) Accept() (net.Conn, error) {
+// Accept waits for a free slot, then for a connection.
+func (l *limitListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
 	case <-l.closed:
@@ -29,11 +29,12 @@
 }
 
 // Close closes the listener.
-func (l *limited) Close() error {
+func (l *limitListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
+// slotConn occupies a slot until it is closed.
 type slotConn struct {
 	net.Conn
 	once    sync.Once
--- a/internal/networker/network.go
+++ b/internal/networker/network.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	dialTimeout     = time.Second
-	idleTimeout     = 30 * time.Second
-	idlePerTarget   = 256
-	maximumIdleConn = 4096
+	dialTimeout            = time.Second
+	idleTimeout            = 30 * time.Second
+	maximumIdlePerHost     = 256
+	maximumIdleConnections = 4096
 )
 
 // Network opens listeners and connections.
@@ -20,7 +20,7 @@
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// TCP is the network of the machine.
+// TCP is the Network of the host.
 type TCP struct{}
 
 // Listen opens a TCP listener.
@@ -32,8 +32,8 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Client returns an HTTP client on the network; without reuse each request has a connection of its own,
-// which keeps the transport from sending a request a second time.
+// Client returns an HTTP client that connects through n and follows no redirects. Without reuse, each request uses a
+// new connection, because http.Transport may resend a request that failed on a reused one.
 func Client(n Network, reuse bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -42,15 +42,15 @@
 			},
 			DisableKeepAlives:   !reuse,
 			DisableCompression:  true,
-			MaxIdleConns:        maximumIdleConn,
-			MaxIdleConnsPerHost: idlePerTarget,
+			MaxIdleConns:        maximumIdleConnections,
+			MaxIdleConnsPerHost: maximumIdlePerHost,
 			IdleConnTimeout:     idleTimeout,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// LimitListener bounds the number of connections open at once.
+// LimitListener returns a listener that limits the number of connections open at once.
 func LimitListener(lis net.Listener, limit int) net.Listener {
-	return &limited{Listener: lis, slots: make(chan struct{}, limit), closed: make(chan struct{})}
+	return &limitListener{Listener: lis, slots: make(chan struct{}, limit), closed: make(chan struct{})}
 }
--- a/internal/networker/timed.go
+++ b/internal/networker/timed.go
@@ -6,52 +6,53 @@
 	"time"
 )
 
-// Time limits that net/http must be given so that a timed connection knows which one is meant; net/http reads its own
-// fields without a lock, so they cannot change while it serves.
+// Sentinel timeouts for an http.Server. The server reads its timeout fields without a lock, so they must not change
+// while it serves. A connection of TimeoutListener recognizes the deadlines that the server derives from these values and
+// replaces them by the timeouts in force.
 const (
-	// HeaderTimeoutSentinel stands for the time limit of a request's headers.
+	// HeaderTimeoutSentinel is the value for ReadHeaderTimeout.
 	HeaderTimeoutSentinel = 24 * time.Hour
-	// IdleTimeoutSentinel stands for the time limit of an idle connection.
+	// IdleTimeoutSentinel is the value for IdleTimeout.
 	IdleTimeoutSentinel = 72 * time.Hour
 )
 
-// Timeouts returns how long a client may take for the headers of a request, and how long its connection may be idle.
+// Timeouts returns the timeouts in force: for reading the headers of a request, and for an idle connection.
 type Timeouts func() (header, idle time.Duration)
 
-// TimeoutListener makes the time limits of an http.Server those that limits returns at the time: its ReadHeaderTimeout must
-// be HeaderTimeoutSentinel and its IdleTimeout IdleTimeoutSentinel.
-func TimeoutListener(lis net.Listener, limits Timeouts) net.Listener {
-	return &timedListener{lis, limits}
+// TimeoutListener returns a listener for an http.Server whose timeouts may change while it serves. The server's
+// ReadHeaderTimeout must be HeaderTimeoutSentinel and its IdleTimeout IdleTimeoutSentinel.
+func TimeoutListener(lis net.Listener, timeouts Timeouts) net.Listener {
+	return &timeoutListener{lis, timeouts}
 }
 
-type timedListener struct {
+type timeoutListener struct {
 	net.Listener
-	limits Timeouts
+	timeouts Timeouts
 }
 
 // Accept returns the next connection.
-func (l *timedListener) Accept() (net.Conn, error) {
+func (l *timeoutListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &timedConn{Conn: conn, limits: l.limits}
-	c.silent.Store(true)
+	c := &timeoutConn{Conn: conn, timeouts: l.timeouts}
+	c.noBytesRead.Store(true)
 	return c, nil
 }
 
-// timedConn translates the marks; a connection on which nothing came yet is idle.
-type timedConn struct {
+// timeoutConn replaces the sentinel timeouts. A connection that has not received a byte counts as idle.
+type timeoutConn struct {
 	net.Conn
-	limits Timeouts
-	silent atomic.Bool
+	timeouts    Timeouts
+	noBytesRead atomic.Bool
 }
 
-// Read starts the time limit of the headers with the first byte on a new connection.
-func (c *timedConn) Read(p []byte) (int, error) {
+// Read starts the header timeout at the first byte of a new connection.
+func (c *timeoutConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.silent.CompareAndSwap(true, false) {
-		header, _ := c.limits()
+	if n > 0 && c.noBytesRead.CompareAndSwap(true, false) {
+		header, _ := c.timeouts()
 		if err := c.Conn.SetReadDeadline(time.Now().Add(header)); err != nil {
 			return n, err
 		}
@@ -59,15 +60,15 @@
 	return n, err
 }
 
-// SetReadDeadline sets a deadline, or the time limit that a mark stands for.
-func (c *timedConn) SetReadDeadline(t time.Time) error {
-	header, idle := c.limits()
-	switch left := time.Until(t); {
-	case left > (HeaderTimeoutSentinel+IdleTimeoutSentinel)/2:
+// SetReadDeadline sets a deadline; one that was derived from a sentinel is replaced by one from the timeout in force.
+func (c *timeoutConn) SetReadDeadline(t time.Time) error {
+	header, idle := c.timeouts()
+	switch remaining := time.Until(t); {
+	case remaining > (HeaderTimeoutSentinel+IdleTimeoutSentinel)/2:
 		t = time.Now().Add(idle)
-	case left > HeaderTimeoutSentinel/2 && c.silent.Load():
+	case remaining > HeaderTimeoutSentinel/2 && c.noBytesRead.Load():
 		t = time.Now().Add(max(header, idle))
-	case left > HeaderTimeoutSentinel/2:
+	case remaining > HeaderTimeoutSentinel/2:
 		t = time.Now().Add(header)
 	}
 	return c.Conn.SetReadDeadline(t)
--- a/internal/networker/timed_test.go
+++ b/internal/networker/timed_test.go
@@ -15,26 +15,26 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 )
 
-// serveTimed serves with time limits in milliseconds that the test may change.
-func serveTimed(t *testing.T) (addr string, header, idle *atomic.Int64) {
+// serveWithTimeouts starts a server with timeouts, in milliseconds, that the test may change.
+func serveWithTimeouts(t *testing.T) (addr string, header, idle *atomic.Int64) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	quicktest.Assert(t, err, quicktest.IsNil)
 	header, idle = &atomic.Int64{}, &atomic.Int64{}
 	header.Store(100)
 	idle.Store(400)
-	limits := func() (time.Duration, time.Duration) {
+	timeouts := func() (time.Duration, time.Duration) {
 		return time.Duration(header.Load()) * time.Millisecond, time.Duration(idle.Load()) * time.Millisecond
 	}
 	srv := &http.Server{
 		ReadHeaderTimeout: networker.HeaderTimeoutSentinel, IdleTimeout: networker.IdleTimeoutSentinel,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) }),
 	}
-	go srv.Serve(networker.TimeoutListener(lis, limits))
+	go srv.Serve(networker.TimeoutListener(lis, timeouts))
 	t.Cleanup(func() { srv.Close() })
 	return lis.Addr().String(), header, idle
 }
 
-// closedAfter returns how long the server leaves a connection open.
+// closedAfter returns how long the server keeps a connection open.
 func closedAfter(t *testing.T, conn net.Conn) time.Duration {
 	start := time.Now()
 	quicktest.Assert(t, conn.SetReadDeadline(start.Add(3*time.Second)), quicktest.IsNil)
@@ -59,21 +59,21 @@
 	quicktest.Assert(t, string(body), quicktest.Equals, "ok")
 }
 
-func TestClientsAreHeldToTheTimeLimits(t *testing.T) {
-	addr, header, idle := serveTimed(t)
+func TestTimeouts(t *testing.T) {
+	addr, header, idle := serveWithTimeouts(t)
 	after := closedAfter(t, dial(t, addr))
-	quicktest.Check(t, after >= 350*time.Millisecond && after < 2*time.Second, quicktest.IsTrue, quicktest.Commentf("silent from the start: %v", after))
+	quicktest.Check(t, after >= 350*time.Millisecond && after < 2*time.Second, quicktest.IsTrue, quicktest.Commentf("no bytes sent: %v", after))
 	conn := dial(t, addr)
 	fmt.Fprint(conn, "POST / HTTP")
 	after = closedAfter(t, conn)
-	quicktest.Check(t, after >= 80*time.Millisecond && after < 350*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("half a header: %v", after))
+	quicktest.Check(t, after >= 80*time.Millisecond && after < 350*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("incomplete header: %v", after))
 	conn = dial(t, addr)
 	exchange(t, conn)
-	time.Sleep(300 * time.Millisecond) // Longer than the headers may take.
+	time.Sleep(300 * time.Millisecond) // Longer than the header timeout.
 	exchange(t, conn)
 	after = closedAfter(t, conn)
 	quicktest.Check(t, after >= 350*time.Millisecond && after < 2*time.Second, quicktest.IsTrue, quicktest.Commentf("idle: %v", after))
-	// A change is in force for connections that are open.
+	// A change of the timeouts also applies to open connections.
 	conn = dial(t, addr)
 	exchange(t, conn)
 	exchange(t, conn)
