--- a/internal/provider/doc.go
+++ b/internal/provider/doc.go
@@ -1,2 +1,2 @@
-// Package provider talks to the platform: its log, its instance list, target orders and usage reports.
+// Package provider is a client of the platform's HTTP interface: its log, instance list, target orders and usage reports.
 package provider
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -15,41 +15,44 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrUnavailable is returned when the platform gave no usable answer; the call may still have taken effect.
+// ErrUnavailable is returned when the platform sent no usable response; the call may still have taken effect.
 var ErrUnavailable = errors.New("platform unavailable")
 
-// ErrTruncated is returned when the offset asked for is older than the log's retention.
+// ErrTruncated is returned when the requested offset is older than the oldest retained record.
 var ErrTruncated = errors.New("log truncated")
 
-// ErrRefused is returned when the platform answered that it did not carry out the call.
+// ErrRefused is returned when the platform rejected the call without carrying it out.
 var ErrRefused = errors.New("platform refused")
 
-const maximumAnswerBytes = 64 << 20
+const maximumResponseBytes = 64 << 20
 
-// OldestOffset stands for the oldest retained offset in a read.
+// OldestOffset, as the start of a read, means the oldest retained offset.
 const OldestOffset = identifier.Offset(1<<64 - 1)
 
-// Page is a run of records read from a stream.
+// Page holds consecutive records of a stream.
 type Page struct {
-	First   identifier.Offset
-	Offset  identifier.Offset
+	// First is the oldest retained offset of the stream.
+	First identifier.Offset
+	// Offset is the offset of the first record of the page.
+	Offset identifier.Offset
+	// End is the offset after the newest record of the stream.
 	End     identifier.Offset
 	Records [][]byte
 }
 
-// AppendRequest is the body of an append.
+// AppendRequest is the request body of an append.
 type AppendRequest struct{ Records [][]byte }
 
-// AppendResponse gives the offset of the first appended record.
+// AppendResponse is the response to an append: the offset of the first appended record.
 type AppendResponse struct{ Offset identifier.Offset }
 
-// Instance is one row of the platform's lagging list.
+// Instance is an entry of the platform's instance list, which lags behind the actual state.
 type Instance struct {
 	ID      string
 	Leaving bool
 }
 
-// TargetOrder asks the platform for a target in an availability zone or gives one back.
+// TargetOrder requests a target in an availability zone from the platform, or releases one.
 type TargetOrder struct {
 	OrderID string
 	Sender  string
@@ -61,7 +64,7 @@
 	Cheap   bool
 }
 
-// GrantedTarget is the target that an order brought; it is empty for one that was given back.
+// GrantedTarget is the target that the platform provided for an order; it is empty if the order released a target.
 type GrantedTarget struct {
 	ID                     string
 	Address                string
@@ -75,7 +78,7 @@
 	Slots                  int64
 }
 
-// TeamTotals is one team's usage in a window.
+// TeamTotals is the usage of one team in a window.
 type TeamTotals struct {
 	Team         string
 	Requests     int64
@@ -85,7 +88,7 @@
 	OutputTokens int64
 }
 
-// Report is one closed usage window.
+// Report is the usage of all teams in one closed window.
 type Report struct {
 	Window uint64
 	Sender string
@@ -95,18 +98,20 @@
 
 // Provider is a client of the platform; HTTP must be set.
 type Provider struct {
+	// Base is the base URL of the platform.
 	Base string
 	HTTP *http.Client
 }
 
-// Append adds records to a stream and returns the offset of the first; on ErrUnavailable the outcome is unknown.
+// Append appends records to a stream and returns the offset of the first. After ErrUnavailable the outcome is unknown.
 func (p *Provider) Append(ctx context.Context, stream identifier.StreamID, records [][]byte) (identifier.Offset, error) {
-	var answer AppendResponse
-	err := p.call(ctx, http.MethodPost, "/log/"+url.PathEscape(string(stream)), AppendRequest{Records: records}, &answer)
-	return answer.Offset, err
+	var response AppendResponse
+	err := p.call(ctx, http.MethodPost, "/log/"+url.PathEscape(string(stream)), AppendRequest{Records: records}, &response)
+	return response.Offset, err
 }
 
-// Read returns records from an offset on, waiting up to wait for the first.
+// Read returns the records of a stream from an offset on. If there are none yet, it waits for
+// one, for at most wait.
 func (p *Provider) Read(ctx context.Context, stream identifier.StreamID, from identifier.Offset, wait time.Duration) (Page, error) {
 	q := url.Values{}
 	q.Set("From", strconv.FormatUint(uint64(from), 10))
@@ -116,25 +121,27 @@
 	return page, err
 }
 
-// Instances returns the platform's lagging list of live and leaving instances.
+// Instances returns the platform's list of live and leaving instances, which lags behind the actual state.
 func (p *Provider) Instances(ctx context.Context) ([]Instance, error) {
 	var list []Instance
 	err := p.call(ctx, http.MethodGet, "/instances", nil, &list)
 	return list, err
 }
 
-// OrderTarget places a target order; repeating an OrderID has no further effect and gets the same answer.
+// OrderTarget places a target order. Repeating an order with the same OrderID has no further effect and returns the same
+// response.
 func (p *Provider) OrderTarget(ctx context.Context, order TargetOrder) (GrantedTarget, error) {
 	var granted GrantedTarget
 	err := p.call(ctx, http.MethodPost, "/targets", order, &granted)
 	return granted, err
 }
 
-// SendReport hands in one usage window; repeating it with the same figures has no further effect.
+// SendReport reports one usage window. Repeating a report with the same figures has no further effect.
 func (p *Provider) SendReport(ctx context.Context, report Report) error {
 	return p.call(ctx, http.MethodPost, "/reports", report, nil)
 }
 
+// call sends in as JSON and decodes the JSON response into out; both may be nil.
 func (p *Provider) call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -153,7 +160,7 @@
 		return fmt.Errorf("%w: %s %s: %w", ErrUnavailable, method, path, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %s %s: %w", ErrUnavailable, method, path, err)
 	}
