--- a/internal/exporter/doc.go
+++ b/internal/exporter/doc.go
@@ -1,2 +1,2 @@
-// Package exporter keeps the latest tally metrics and answers with them over HTTP.
+// Package exporter keeps the latest values of tally metrics and serves them over HTTP.
 package exporter
--- a/internal/exporter/exporter.go
+++ b/internal/exporter/exporter.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	highestMicroseconds = int64(time.Hour / time.Microsecond)
+	// maximumMicroseconds is the longest duration that a timer records; a longer one is recorded as this.
+	maximumMicroseconds = int64(time.Hour / time.Microsecond)
 	significantFigures  = 2
 )
 
-// Exporter is a tally reporter that keeps the latest values; the zero value is empty.
+// Exporter is a tally.StatsReporter that keeps the latest values; the zero value is empty and ready to use.
 type Exporter struct {
 	mu       sync.Mutex
 	counters map[string]int64
@@ -26,7 +27,7 @@
 	timers   map[string]*hdrhistogram.Histogram
 }
 
-// Timer is the summary of a timer in milliseconds.
+// Timer summarizes a timer, in milliseconds.
 type Timer struct {
 	Count int64
 	P50   float64
@@ -34,14 +35,14 @@
 	Max   float64
 }
 
-// Values are all metrics at one instant.
+// Values is a snapshot of all metrics.
 type Values struct {
 	Counters map[string]int64
 	Gauges   map[string]float64
 	Timers   map[string]Timer
 }
 
-// Values returns a copy of all metrics.
+// Values returns a snapshot of all metrics.
 func (e *Exporter) Values() Values {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,7 +58,7 @@
 	return v
 }
 
-// ServeHTTP answers with all metrics as JSON.
+// ServeHTTP responds with all metrics as JSON.
 func (e *Exporter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(e.Values())
@@ -70,7 +71,7 @@
 	if e.counters == nil {
 		e.counters = map[string]int64{}
 	}
-	e.counters[tagged(name, tags)] += value
+	e.counters[metricKey(name, tags)] += value
 }
 
 // ReportGauge sets a gauge.
@@ -80,7 +81,7 @@
 	if e.gauges == nil {
 		e.gauges = map[string]float64{}
 	}
-	e.gauges[tagged(name, tags)] = value
+	e.gauges[metricKey(name, tags)] = value
 }
 
 // ReportTimer records one duration.
@@ -90,11 +91,11 @@
 	if e.timers == nil {
 		e.timers = map[string]*hdrhistogram.Histogram{}
 	}
-	key := tagged(name, tags)
+	key := metricKey(name, tags)
 	if e.timers[key] == nil {
-		e.timers[key] = hdrhistogram.New(1, highestMicroseconds, significantFigures)
+		e.timers[key] = hdrhistogram.New(1, maximumMicroseconds, significantFigures)
 	}
-	e.timers[key].RecordValue(min(highestMicroseconds, interval.Microseconds()))
+	e.timers[key].RecordValue(min(maximumMicroseconds, interval.Microseconds()))
 }
 
 // ReportHistogramValueSamples ignores histograms, which the system does not use.
@@ -105,19 +106,20 @@
 func (e *Exporter) ReportHistogramDurationSamples(string, map[string]string, tally.Buckets, time.Duration, time.Duration, int64) {
 }
 
-// Capabilities tells tally that values come with tags.
+// Capabilities reports that the exporter supports tags.
 func (e *Exporter) Capabilities() tally.Capabilities { return e }
 
-// Reporting is true.
+// Reporting returns true.
 func (e *Exporter) Reporting() bool { return true }
 
-// Tagging is true.
+// Tagging returns true.
 func (e *Exporter) Tagging() bool { return true }
 
-// Flush does nothing, because values are kept at once.
+// Flush does nothing, because values are stored immediately.
 func (e *Exporter) Flush() {}
 
-func tagged(name string, tags map[string]string) string {
+// metricKey returns the name of a metric followed by its tags in sorted order.
+func metricKey(name string, tags map[string]string) string {
 	if len(tags) == 0 {
 		return name
 	}
