--- a/internal/explainer/doc.go
+++ b/internal/explainer/doc.go
@@ -1,2 +1,2 @@
-// Package explainer keeps the latest decision lines of each request for the operators' explain query.
+// Package explainer keeps the log lines of recent requests for the operators' explain query.
 package explainer
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -11,37 +11,39 @@
 )
 
 const (
-	keptRequests     = 4096
-	keptLinesRequest = 16
+	// maximumRequests is how many of the latest requests are kept.
+	maximumRequests        = 4096
+	maximumLinesPerRequest = 16
 )
 
-// Explainer copies log lines that name a request; use New.
+// Explainer is a log output that also keeps the lines that contain a request ID; use New to create one.
 type Explainer struct {
 	out   io.Writer
 	lines *lru.Cache[identifier.RequestID, []string]
 }
 
-// New returns an explainer that writes on to out.
+// New returns an Explainer that writes all lines to out.
 func New(out io.Writer) (*Explainer, error) {
-	lines, err := lru.New[identifier.RequestID, []string](keptRequests)
+	lines, err := lru.New[identifier.RequestID, []string](maximumRequests)
 	if err != nil {
 		return nil, err
 	}
 	return &Explainer{out: out, lines: lines}, nil
 }
 
-// Write keeps one JSON log line under its request and writes it on.
+// Write writes one JSON log line to the output and keeps it if it contains a request ID. Of each request, the first lines
+// are kept.
 func (e *Explainer) Write(line []byte) (int, error) {
 	if id := requestID(line); id != "" {
 		kept, _ := e.lines.Get(id)
-		if len(kept) < keptLinesRequest {
+		if len(kept) < maximumLinesPerRequest {
 			e.lines.Add(id, append(slices.Clone(kept), string(line)))
 		}
 	}
 	return e.out.Write(line)
 }
 
-// requestID finds the request's id without decoding the whole line.
+// requestID extracts the request ID without decoding the whole line; it returns an empty ID if there is none.
 func requestID(line []byte) identifier.RequestID {
 	_, rest, found := bytes.Cut(line, []byte(`"RequestID":"`))
 	if !found {
@@ -51,10 +53,10 @@
 	return identifier.RequestID(id)
 }
 
-// Sync does nothing, because lines are written at once.
+// Sync does nothing, because lines are written immediately.
 func (e *Explainer) Sync() error { return nil }
 
-// Lines returns the decision lines of a request, oldest first.
+// Lines returns the kept log lines of a request, oldest first.
 func (e *Explainer) Lines(id identifier.RequestID) []string {
 	lines, _ := e.lines.Get(id)
 	return lines
