--- a/internal/tracer/doc.go
+++ b/internal/tracer/doc.go
@@ -1,2 +1,2 @@
-// Package tracer finds in the logs of entry instances what decided a request; it does no I/O of its own but reading.
+// Package tracer reconstructs from the logs of entry instances how a request was handled. It opens no files itself.
 package tracer
--- a/internal/tracer/line.go
+++ b/internal/tracer/line.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// longestLine bounds one log line in bytes; lines of the program have some hundred.
-const longestLine = 1 << 20
+// maximumLineBytes bounds one log line; the program's own lines have a few hundred bytes.
+const maximumLineBytes = 1 << 20
 
 // Line is one log line of an entry instance.
 type Line struct {
 	Time     time.Time
 	Instance string
 	Message  string
-	// Fields are all other fields.
+	// Fields holds all other fields except the level.
 	Fields map[string]any
 }
 
-// UnreadableLine is a line that is no log line.
+// UnreadableLine is a line that looks like a log line but cannot be parsed.
 type UnreadableLine struct {
 	File   string
 	Number int
 	Err    error
 }
 
-// String says which line it is and why.
+// String returns the position of the line and the error.
 func (u UnreadableLine) String() string { return fmt.Sprintf("%s:%d: %v", u.File, u.Number, u.Err) }
 
-// Read returns the log lines of a file and the lines that cannot be read. What stands before the JSON of a line, such as
-// the time that a collector adds, is skipped; lines without JSON are of other programs and left out.
+// Read returns the log lines of a file and the lines that cannot be parsed. Text before the JSON of a line, such as a
+// timestamp added by a log collector, is skipped. Lines without JSON come from other programs and are ignored.
 func Read(r io.Reader, file string) ([]Line, []UnreadableLine, error) {
 	var lines []Line
-	var bad []UnreadableLine
+	var unreadable []UnreadableLine
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maximumLineBytes)
 	for n := 1; scanner.Scan(); n++ {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -46,12 +46,12 @@
 		}
 		line, err := parse(scanner.Bytes()[start:])
 		if err != nil {
-			bad = append(bad, UnreadableLine{file, n, err})
+			unreadable = append(unreadable, UnreadableLine{file, n, err})
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, bad, scanner.Err()
+	return lines, unreadable, scanner.Err()
 }
 
 func parse(data []byte) (Line, error) {
@@ -70,7 +70,7 @@
 	return l, nil
 }
 
-// Text returns a field as text, or nothing if it is not there.
+// Text returns a field as text, or an empty string if the field is missing.
 func (l *Line) Text(name string) string { return text(l.Fields[name]) }
 
 func text(v any) string {
@@ -83,7 +83,7 @@
 	return fmt.Sprint(v)
 }
 
-// Sort orders lines by time, and those of one instant by instance.
+// Sort sorts lines by time; lines with equal times keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
--- a/internal/tracer/trace.go
+++ b/internal/tracer/trace.go
@@ -14,22 +14,22 @@
 // ErrUnknownRequest is returned when no line names the request.
 var ErrUnknownRequest = errors.New("no line names the request")
 
-// beliefTime is how long before a request what was believed of its targets is shown: entries of targets that are gone
-// lapse within some seconds.
-const beliefTime = 10 * time.Second
+// maximumStateAge is how old a target's last state line may be at the start of a request to be shown: the entry of a lost
+// target expires within a few seconds.
+const maximumStateAge = 10 * time.Second
 
-// Trace is the way of one request.
+// Trace holds the log lines that explain how one request was handled.
 type Trace struct {
 	Request string
-	// RequestLines are the lines that name the request.
+	// RequestLines are the lines that contain the request's ID.
 	RequestLines []Line
-	// StateLines are the lines that tell what the instance believed of the request's targets, of the configuration and of the
-	// store, each the last one before the request and all during it.
+	// StateLines are the lines that show what the instance knew of the request's targets, the configuration, the store
+	// and its peers: the last one of each before the request, as far as it still matters, and all during the request.
 	StateLines []Line
 }
 
-// beliefs are the messages that change what an instance believes, with the field that names the matter.
-var beliefs = map[string]string{
+// stateMessages are the messages that report a change in what an instance knows, with the field that names the subject.
+var stateMessages = map[string]string{
 	"target": "Target", "target gone": "Target", "target entry not usable": "Target", "stage ordered": "Target",
 	"configuration in force": "", "store lost": "Stream", "store regained": "Stream", "entry instance starts": "", "leaving": "",
 	"peer": "Peer",
@@ -56,24 +56,25 @@
 		return nil, fmt.Errorf("%w: %s", ErrUnknownRequest, request)
 	}
 	start, end := t.span()
-	// Where there was no target, what became of all of them is the cause.
-	all := t.RequestLines[len(t.RequestLines)-1].Text("Reason") == "NoTarget"
+	// If no target was available, the state of all targets explains the refusal.
+	allTargets := t.RequestLines[len(t.RequestLines)-1].Text("Reason") == "NoTarget"
 	last := map[string]Line{}
 	for _, l := range lines {
-		matter, ok := beliefs[l.Message]
-		about := l.Text(matter)
-		if !ok || !instances[l.Instance] || matter == "Target" && !all && !targets[about] || l.Time.After(end) || matter == "Peer" && l.Time.Before(start) {
+		field, ok := stateMessages[l.Message]
+		subject := l.Text(field)
+		if !ok || !instances[l.Instance] || field == "Target" && !allTargets && !targets[subject] ||
+			l.Time.After(end) || field == "Peer" && l.Time.Before(start) {
 			continue
 		}
 		if l.Time.Before(start) {
-			// Gone and there, lost and regained are one matter each.
-			last[strings.Fields(l.Message)[0]+about] = l
+			// Messages that supersede each other, such as "target" and "target gone", share their first word.
+			last[strings.Fields(l.Message)[0]+subject] = l
 			continue
 		}
 		t.StateLines = append(t.StateLines, l)
 	}
 	for _, l := range last {
-		if l.Message == "configuration in force" || l.Message == "store lost" || start.Sub(l.Time) <= beliefTime {
+		if l.Message == "configuration in force" || l.Message == "store lost" || start.Sub(l.Time) <= maximumStateAge {
 			t.StateLines = append(t.StateLines, l)
 		}
 	}
@@ -81,7 +82,8 @@
 	return t, nil
 }
 
-// span is the time from the request's arrival to its last line.
+// span returns the times of the request's arrival and of its last line. The field After of a line is the time since the
+// arrival, in seconds.
 func (t *Trace) span() (start, end time.Time) {
 	start, end = t.RequestLines[0].Time, t.RequestLines[len(t.RequestLines)-1].Time
 	for _, l := range t.RequestLines {
@@ -94,7 +96,7 @@
 	return start, end
 }
 
-// causes say in a sentence what a reason of a refusal means.
+// causes explains each reason for a refusal.
 var causes = map[string]string{
 	"NoConfiguration":     "this instance had no configuration yet; it did not run",
 	"UnknownRoute":        "the configuration in force has no such route",
@@ -114,7 +116,7 @@
 	"PromptTimeout":       "its deadline or its route's timeout passed before its prompt was read",
 }
 
-// Cause says in a sentence how the request ended and why.
+// Cause returns a sentence that says how the request ended and why.
 func (t *Trace) Cause() string {
 	end := &t.RequestLines[len(t.RequestLines)-1]
 	switch end.Message {
@@ -122,17 +124,19 @@
 		if status := end.Text("Status"); status != "" && status != "200" {
 			return "answered " + status + " by target " + end.Text("AnswerTarget") + " itself"
 		}
-		return "served after " + seconds(end.Fields["After"])
+		return "served after " + formatSeconds(end.Fields["After"])
 	case "client left":
-		return "its client left after " + seconds(end.Fields["After"])
+		return "its client left after " + formatSeconds(end.Fields["After"])
 	case "request refused":
 		reason := end.Text("Reason")
-		return "answered " + end.Text("Status") + " after " + seconds(end.Fields["After"]) + ": " + cmp.Or(causes[reason], reason)
+		return "answered " + end.Text("Status") + " after " + formatSeconds(end.Fields["After"]) +
+			": " + cmp.Or(causes[reason], reason)
 	}
 	return "its end is not in the logs"
 }
 
-func seconds(v any) string {
+// formatSeconds formats a number of seconds as a duration.
+func formatSeconds(v any) string {
 	f, ok := v.(float64)
 	if !ok {
 		return "?"
@@ -140,20 +144,20 @@
 	return time.Duration(f * float64(time.Second)).Round(100 * time.Microsecond).String()
 }
 
-// Write prints the trace: its cause, its lines and what was believed, with times from the request's arrival.
+// Write prints the trace: the cause, the request lines and the state lines, with times relative to the request's arrival.
 func (t *Trace) Write(w io.Writer) error {
 	start, _ := t.span()
 	if _, err := fmt.Fprintf(w, "request %s at %s: %s\n", t.Request, t.RequestLines[0].Instance, t.Cause()); err != nil {
 		return err
 	}
-	for _, part := range []struct {
+	for _, section := range []struct {
 		title string
 		lines []Line
 	}{{"decisions", t.RequestLines}, {"beliefs", t.StateLines}} {
-		if _, err := fmt.Fprintf(w, "%s:\n", part.title); err != nil {
+		if _, err := fmt.Fprintf(w, "%s:\n", section.title); err != nil {
 			return err
 		}
-		for _, l := range part.lines {
+		for _, l := range section.lines {
 			if _, err := fmt.Fprintf(w, "  %+9.4fs %s %s%s\n", l.Time.Sub(start).Seconds(), l.Instance, l.Message, t.fields(&l)); err != nil {
 				return err
 			}
@@ -162,7 +166,7 @@
 	return nil
 }
 
-// fields prints the fields of a line that say something.
+// fields formats the fields of a line, except the request's ID and empty fields.
 func (t *Trace) fields(l *Line) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
--- a/internal/tracer/trace_test.go
+++ b/internal/tracer/trace_test.go
@@ -25,10 +25,10 @@
 `
 
 func TestTrace(t *testing.T) {
-	lines, bad, err := tracer.Read(strings.NewReader(logs), "all.log")
+	lines, unreadable, err := tracer.Read(strings.NewReader(logs), "all.log")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Assert(t, bad, quicktest.HasLen, 2)
-	quicktest.Check(t, strings.HasPrefix(bad[1].String(), "all.log:12: "), quicktest.IsTrue, quicktest.Commentf("%v", bad[1]))
+	quicktest.Assert(t, unreadable, quicktest.HasLen, 2)
+	quicktest.Check(t, strings.HasPrefix(unreadable[1].String(), "all.log:12: "), quicktest.IsTrue, quicktest.Commentf("%v", unreadable[1]))
 	tracer.Sort(lines)
 	trace, err := tracer.Find(lines, "r1")
 	quicktest.Assert(t, err, quicktest.IsNil)
@@ -47,7 +47,7 @@
 	quicktest.Check(t, trace.Cause(), quicktest.Equals, "answered 500 by target i-2 itself")
 	trace, err = tracer.Find(lines, "r4")
 	quicktest.Assert(t, err, quicktest.IsNil)
-	quicktest.Check(t, trace.StateLines, quicktest.HasLen, 3, quicktest.Commentf("the configuration and the last of each target"))
+	quicktest.Check(t, trace.StateLines, quicktest.HasLen, 3, quicktest.Commentf("the configuration and the last line of each target"))
 	_, err = tracer.Find(lines, "r3")
 	quicktest.Check(t, errors.Is(err, tracer.ErrUnknownRequest), quicktest.IsTrue)
 }
