--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -66,7 +66,9 @@
 }
 
 func newConn(p *Pool, addr string, nc net.Conn) *conn {
-	return &conn{Conn: nc, pool: p, addr: addr, r: bufio.NewReaderSize(nc, readBufferBytes), expiresAt: time.Now().Add(defaultIdle)}
+	return &conn{
+		Conn: nc, pool: p, addr: addr, r: bufio.NewReaderSize(nc, readBufferBytes), expiresAt: time.Now().Add(defaultIdle),
+	}
 }
 
 func (c *conn) close() {
@@ -213,7 +215,9 @@
 			}
 			continue
 		}
-		return &Response{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &responseBody{res: res, x: x}}, nil
+		return &Response{
+			Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: &responseBody{res: res, x: x},
+		}, nil
 	}
 }
 
