--- a/internal/asserter/doc.go
+++ b/internal/asserter/doc.go
@@ -1,2 +1,2 @@
-// Package asserter checks invariants inside the running program.
+// Package asserter checks invariants in the running program and counts their violations.
 package asserter
