--- a/internal/signaler/box.go
+++ b/internal/signaler/box.go
@@ -5,37 +5,38 @@
 	"sync"
 )
 
-// Event names what happened.
+// Event identifies a kind of event.
 type Event int
 
-// Mailbox holds the latest value of each event until it is taken; the zero value is empty.
+// Mailbox holds the latest value of each event until Wait returns it; the zero value is empty and ready to use.
 type Mailbox struct {
 	mu     sync.Mutex
 	events map[Event]any
 	wake   chan struct{}
 }
 
-// Set puts an event in the box and replaces an earlier value of it.
-func (b *Mailbox) Set(event Event, value any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.events == nil {
-		b.events = map[Event]any{}
+// Set stores the value of an event and replaces an earlier value that has not been returned yet.
+func (m *Mailbox) Set(event Event, value any) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.events == nil {
+		m.events = map[Event]any{}
 	}
-	b.events[event] = value
+	m.events[event] = value
 	select {
-	case b.wakeChan() <- struct{}{}:
+	case m.wakeChan() <- struct{}{}:
 	default:
 	}
 }
 
-// Wait takes all events, waiting for the first, or returns the error of ctx.
-func (b *Mailbox) Wait(ctx context.Context) (map[Event]any, error) {
+// Wait waits until the mailbox holds an event, then removes and returns all events. It returns the error of ctx if ctx
+// ends first.
+func (m *Mailbox) Wait(ctx context.Context) (map[Event]any, error) {
 	for {
-		b.mu.Lock()
-		events, wake := b.events, b.wakeChan()
-		b.events = nil
-		b.mu.Unlock()
+		m.mu.Lock()
+		events, wake := m.events, m.wakeChan()
+		m.events = nil
+		m.mu.Unlock()
 		if len(events) > 0 {
 			return events, nil
 		}
@@ -47,9 +48,10 @@
 	}
 }
 
-func (b *Mailbox) wakeChan() chan struct{} {
-	if b.wake == nil {
-		b.wake = make(chan struct{}, 1)
+// wakeChan returns the channel that wakes Wait; mu must be held.
+func (m *Mailbox) wakeChan() chan struct{} {
+	if m.wake == nil {
+		m.wake = make(chan struct{}, 1)
 	}
-	return b.wake
+	return m.wake
 }
--- a/internal/signaler/doc.go
+++ b/internal/signaler/doc.go
@@ -1,2 +1,2 @@
-// Package signaler joins goroutines by an event box that keeps the latest value of each event.
+// Package signaler passes events between goroutines through a mailbox that keeps only the latest value of each event.
 package signaler
