--- a/internal/sleeper/doc.go
+++ b/internal/sleeper/doc.go
@@ -1,2 +1,2 @@
-// Package sleeper waits for a time or for the end of a context.
+// Package sleeper sleeps for a duration or until a context ends.
 package sleeper
--- a/internal/sleeper/sleep.go
+++ b/internal/sleeper/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep returns after d, or earlier with the error of ctx.
+// Sleep waits for d; if ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
