--- a/internal/exporter/exporter.go
+++ b/internal/exporter/exporter.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maximumMicroseconds is the longest duration that a timer records; a longer one is recorded as this.
+	// maximumMicroseconds is the longest duration that a timer records; longer ones are recorded as this.
 	maximumMicroseconds = int64(time.Hour / time.Microsecond)
 	significantFigures  = 2
 )
--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -54,6 +54,7 @@
 	Body   io.ReadCloser
 }
 
+// conn is a connection of a Pool. It was last used at idleSince and is not reused after expiresAt.
 type conn struct {
 	net.Conn
 	pool      *Pool
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -47,7 +47,8 @@
 	open map[string]int
 }
 
-// get returns a connection that has been idle for at most maximumIdle, or opens a new one.
+// get returns a connection that has been idle for at most maximumIdle, or opens a new one. It closes the idle
+// connections that it finds unusable.
 //
 // If limit is positive, at most limit connections to the address are open at once.
 func (p *Pool) get(ctx context.Context, addr string, maximumIdle time.Duration, limit int) (*conn, error) {
@@ -131,7 +132,7 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Sweep closes idle connections that the target has closed or that have expired, until ctx ends.
+// Sweep periodically closes idle connections that have expired or that the target has closed, until ctx ends.
 func (p *Pool) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -147,7 +148,7 @@
 	}
 }
 
-// removeExpired removes the expired and closed connections from the idle ones and returns them.
+// removeExpired removes the expired and the unhealthy connections from the idle ones and returns them.
 func (p *Pool) removeExpired() []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
