--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -59,9 +59,9 @@
 // start runs each background task in a goroutine of its own. The tasks of the lease holder end with duties.
 func (c *Coordinator) start(background, duties context.Context, peerLis net.Listener, group *sync.WaitGroup) {
 	peerServer := &exchanger.Server{
-		New:    func() proto.Message { return &gossiper.Beat{} },
-		Answer: func(req proto.Message) proto.Message { return c.peers.Answer(req.(*gossiper.Beat)) },
-		Logger: c.logger,
+		NewRequest: func() proto.Message { return &gossiper.Beat{} },
+		Answer:     func(req proto.Message) proto.Message { return c.peers.Answer(req.(*gossiper.Beat)) },
+		Logger:     c.logger,
 	}
 	targets := c.newFollower(streamTargets, c.platform.Targets, &c.targets, c.copyAge)
 	c.targets.FailingFor = targets.FailingFor
@@ -262,12 +262,12 @@
 		return nil, err
 	}
 	srv := khttp.NewServer(
-		khttp.Listener(networker.TimeListener(networker.LimitListener(lis, connections), c.timeLimits)),
+		khttp.Listener(networker.TimeoutListener(networker.LimitListener(lis, connections), c.timeLimits)),
 		khttp.Endpoint(&url.URL{Scheme: "http", Host: addr}),
 		khttp.Timeout(0),
 	)
-	srv.ReadHeaderTimeout = networker.HeaderMark
-	srv.IdleTimeout = networker.IdleMark
+	srv.ReadHeaderTimeout = networker.HeaderTimeoutSentinel
+	srv.IdleTimeout = networker.IdleTimeoutSentinel
 	srv.ErrorLog = zap.NewStdLog(c.logger)
 	// This bypasses the router of kratos, which redirects paths that are not clean.
 	srv.Handler = h
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -70,7 +70,7 @@
 	noKeepAliveHTTP *http.Client
 	metrics         tally.Scope
 	exporter        *exporter.Exporter
-	pendingEvents   signaler.Box
+	pendingEvents   signaler.Mailbox
 	explain         func(identifier.RequestID) []string
 	config          *tailer.Tailer
 	control         *tailer.Tailer
--- a/internal/tailer/bootstrap.go
+++ b/internal/tailer/bootstrap.go
@@ -16,7 +16,7 @@
 // bootstrap reads all retained records, restores the newest usable checkpoint among them and applies the records after
 // it.
 func (t *Tailer) bootstrap(ctx context.Context) error {
-	page, started, err := t.read(ctx, provider.Oldest, 0)
+	page, started, err := t.read(ctx, provider.OldestOffset, 0)
 	if err != nil {
 		return err
 	}
