--- a/internal/commander/ask.go
+++ b/internal/commander/ask.go
@@ -15,9 +15,9 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Team says which key a caller has and where it is.
+// Team holds the flags that describe a caller: the team's key and the caller's availability zone.
 type Team struct {
-	KeyFile string `long:"KeyFile" value-name:"FILE" required:"true" description:"file that holds the team's key"`
+	KeyFile string `long:"KeyFile" value-name:"FILE" required:"true" description:"file with the team's key"`
 	Zone    string `long:"AvailabilityZone" description:"the caller's availability zone"`
 
 	key string
@@ -36,8 +36,8 @@
 	deferred
 	Site       `group:"Site"`
 	Team       `group:"Team"`
-	Model      string `long:"Model" required:"true" description:"model to ask"`
-	MaxTokens  int64  `long:"MaxTokens" default:"16" description:"greatest number of output tokens"`
+	Model      string `long:"Model" required:"true" description:"name of the model"`
+	MaxTokens  int64  `long:"MaxTokens" default:"16" description:"maximum number of output tokens"`
 	Positional struct {
 		Prompt string `positional-arg-name:"PROMPT" required:"true"`
 	} `positional-args:"true"`
@@ -61,20 +61,20 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		data, _ := io.ReadAll(io.LimitReader(resp.Body, maximumAnswerBytes))
-		return refusedBy(resp, data)
+		data, _ := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
+		return refusalError(resp, data)
 	}
 	fmt.Fprintf(env.Stderr, "request %s\n", resp.Header.Get("X-Request-Id"))
 	return c.print(env, resp.Body)
 }
 
-// print writes the tokens as they come.
+// print writes the tokens as they arrive.
 func (c *askCommand) print(env *Environment, r io.Reader) error {
 	events := chatter.NewEventReader(r)
 	for {
 		event, err := events.Next()
 		if err != nil {
-			return fmt.Errorf("%w: the answer was cut: %w", ErrUnreachable, err)
+			return fmt.Errorf("%w: the response ended early: %w", ErrUnreachable, err)
 		}
 		if event.Done() {
 			fmt.Fprintln(env.Stdout)
--- a/internal/commander/call.go
+++ b/internal/commander/call.go
@@ -16,7 +16,7 @@
 	Site           `group:"Site"`
 	Team           `group:"Team"`
 	Path           string `long:"Path" required:"true" description:"path of the service's route"`
-	IdempotencyKey string `long:"IdempotencyKey" description:"key under which the call runs at most once"`
+	IdempotencyKey string `long:"IdempotencyKey" description:"calls with the same key run at most once"`
 	Positional     struct {
 		Body string `positional-arg-name:"BODY"`
 	} `positional-args:"true"`
@@ -38,12 +38,12 @@
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refusedBy(resp, data)
+		return refusalError(resp, data)
 	}
 	_, err = env.Stdout.Write(data)
 	return err
@@ -59,7 +59,7 @@
 	if c.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", c.IdempotencyKey)
 	}
-	// The transport must not send the call a second time on its own.
+	// Without GetBody the HTTP transport cannot resend the call on its own, which might run it twice.
 	req.GetBody = nil
 	return req, nil
 }
--- a/internal/commander/check.go
+++ b/internal/commander/check.go
@@ -10,11 +10,11 @@
 
 type checkCommand struct {
 	deferred
-	Settings  []string `long:"Settings" value-name:"FILE" description:"settings of an entry instance; may be given several times"`
-	Entries   []string `long:"EntrySettings" value-name:"FILE" description:"settings of an entry instance on the users' machines; may be given several times"`
+	Settings  []string `long:"Settings" value-name:"FILE" description:"settings for the serve command; may be given several times"`
+	Entries   []string `long:"EntrySettings" value-name:"FILE" description:"settings for the entry command; may be given several times"`
 	Inventory string   `long:"Inventory" value-name:"FILE" description:"inventory"`
 	Rules     string   `long:"Rules" value-name:"FILE" description:"rules, checked against the inventory"`
-	JSON      bool     `long:"Json" description:"print JSON for programs"`
+	JSON      bool     `long:"Json" description:"print JSON"`
 }
 
 func (c *checkCommand) validate() error {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// check collects the faults of all files.
+// check returns the faults of all files.
 func (c *checkCommand) check() (parser.Faults, error) {
 	faults := parser.Faults{}
 	for _, file := range c.Settings {
--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -12,9 +12,10 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/caller"
 )
 
-const maximumAnswerBytes = 64 << 20
+const maximumResponseBytes = 64 << 20
 
-// callOperator calls the first entry instance that answers; a changing call that may have run is not sent to another.
+// callOperator sends a request to the entry instances in order until one responds. A change that may have been executed
+// is not sent to another instance.
 func callOperator(env *Environment, site *Site, operator *Operator, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -25,7 +26,7 @@
 	}
 	ctx, cancel := context.WithTimeout(env.Stop, site.Timeout)
 	defer cancel()
-	var failed error
+	var lastErr error
 	for _, entry := range site.Entries {
 		req, err := http.NewRequestWithContext(ctx, method, entry+path, bytes.NewReader(body))
 		if err != nil {
@@ -35,30 +36,30 @@
 		req.Header.Set("Content-Type", "application/json")
 		resp, err := env.HTTP.Do(req)
 		if err != nil {
-			failed = fmt.Errorf("%w: %s: %w", ErrUnreachable, entry, err)
+			lastErr = fmt.Errorf("%w: %s: %w", ErrUnreachable, entry, err)
 			if method != http.MethodGet && !caller.NotSent(err) {
-				return fmt.Errorf("the change may have taken effect, look before you repeat it: %w", failed)
+				return fmt.Errorf("the change may have taken effect, check before repeating it: %w", lastErr)
 			}
 			continue
 		}
-		return readAnswer(resp, out)
+		return readResponse(resp, out)
 	}
-	return failed
+	return lastErr
 }
 
-func readAnswer(resp *http.Response, out any) error {
+func readResponse(resp *http.Response, out any) error {
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refusedBy(resp, data)
+		return refusalError(resp, data)
 	}
 	return json.Unmarshal(data, out)
 }
 
-func refusedBy(resp *http.Response, data []byte) error {
+func refusalError(resp *http.Response, data []byte) error {
 	var body answerer.Body
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
@@ -66,7 +67,7 @@
 	return fmt.Errorf("%w: %s (%s): %s", ErrRefused, body.Error.Code, body.Error.Run, body.Error.Message)
 }
 
-// printJSON prints a value for programs.
+// printJSON prints a value as indented JSON.
 func printJSON(env *Environment, v any) error {
 	encoder := json.NewEncoder(env.Stdout)
 	encoder.SetIndent("", "  ")
--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -32,8 +32,8 @@
 	return file
 }
 
-// TestCommandsOfTheUsersMachines runs those that need no site.
-func TestCommandsOfTheUsersMachines(t *testing.T) {
+// TestCommandsWithoutSite runs the commands that need no running entry instance.
+func TestCommandsWithoutSite(t *testing.T) {
 	settings := "[Instance]\nID = front-1\nAvailabilityZone = z\nListen = 10.0.0.1:80\nReadyListen = 10.0.0.1:81\nDirectoryListen = 10.0.0.1:82\n" +
 		"MetricsListen = 10.0.0.1:83\nPeerListen = 10.0.0.1:84\n[Store]\nAddress = 10.0.0.9:90\n"
 	good, bad := write(t, "good.ini", settings), write(t, "bad.ini", "[Instance]\nListen = nowhere\n[Routing]\nPolicy = Best\n")
@@ -60,14 +60,15 @@
 	}
 }
 
-// TestChangesGoToOneEntry lets the first entry take a command and cut the connection, or be gone.
+// TestChangesGoToOneEntry checks that a change is not sent to a second entry after the first one aborted the connection,
+// since it may have executed the change. A query, or a change that could not be sent, goes to the second entry.
 func TestChangesGoToOneEntry(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "operator.key")
 	quicktest.Assert(t, os.WriteFile(key, []byte("k"), 0o600), quicktest.IsNil)
-	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	defer cut.Close()
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
+	aborting := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	defer aborting.Close()
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
 	var reached atomic.Int64
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		reached.Add(1)
@@ -80,10 +81,10 @@
 		code    int
 		reached int64
 	}{
-		"change, cut":   {[]string{"key", "withdraw", "--ID", "x"}, cut.URL, commander.ExitUnreachable, 0},
-		"change, gone":  {[]string{"key", "withdraw", "--ID", "x"}, gone.URL, commander.ExitDone, 1},
-		"query, cut":    {[]string{"usage"}, cut.URL, commander.ExitDone, 1},
-		"no such entry": {[]string{"usage"}, "nowhere", commander.ExitUsage, 0},
+		"change, connection aborted": {[]string{"key", "withdraw", "--ID", "x"}, aborting.URL, commander.ExitUnreachable, 0},
+		"change, entry unreachable":  {[]string{"key", "withdraw", "--ID", "x"}, unreachable.URL, commander.ExitDone, 1},
+		"query, connection aborted":  {[]string{"usage"}, aborting.URL, commander.ExitDone, 1},
+		"invalid entry URL":          {[]string{"usage"}, "nowhere", commander.ExitUsage, 0},
 	} {
 		reached.Store(0)
 		code, stderr := run(t, append(tc.command, "--Entry", tc.first, "--Entry", second.URL, "--OperatorKeyFile", key)...)
--- a/internal/commander/doc.go
+++ b/internal/commander/doc.go
@@ -1,2 +1,2 @@
-// Package commander is the command line: it parses and checks all arguments and files before any work starts.
+// Package commander implements the command line: it validates all arguments and files before any work starts.
 package commander
--- a/internal/commander/entry.go
+++ b/internal/commander/entry.go
@@ -16,9 +16,9 @@
 
 type entryCommand struct {
 	deferred
-	Settings string `long:"Settings" value-name:"FILE" description:"settings of the entry instance; by default the file that the platform names"`
-	DryRun   bool   `long:"DryRun" description:"print the settings in force, defaults filled in, and end"`
-	Debug    bool   `long:"Debug" description:"log debug lines too"`
+	Settings string `long:"Settings" value-name:"FILE" description:"settings of the entry instance; default: the file that the platform names"`
+	DryRun   bool   `long:"DryRun" description:"print the effective settings, including defaults, and exit"`
+	Debug    bool   `long:"Debug" description:"log debug messages too"`
 
 	settings *parser.EntrySettings
 }
@@ -28,11 +28,11 @@
 		c.Settings = platform.SettingsFile()
 	}
 	var err error
-	c.settings, err = c.read()
+	c.settings, err = c.readSettings()
 	return err
 }
 
-func (c *entryCommand) read() (*parser.EntrySettings, error) {
+func (c *entryCommand) readSettings() (*parser.EntrySettings, error) {
 	data, err := os.ReadFile(c.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("%w: --Settings: %w", ErrUsage, err)
@@ -49,9 +49,9 @@
 		return printJSON(env, c.settings)
 	}
 	logger := NewLogger(zapcore.Lock(zapcore.AddSync(env.Stdout)), c.Debug).With(zap.String("Instance", string(c.settings.Instance)))
-	// kratos logs by a logger that all of the process shares.
+	// kratos logs through a process-wide logger.
 	log.SetLogger(kratosLogger{logger})
-	faces := coordinator.Handlers{
+	handlers := coordinator.Handlers{
 		Client: func(co *coordinator.Coordinator) http.Handler {
 			return &platform.Ingress{Server: co, Limits: co.Limits, Bodies: &co.Bodies, Logger: logger}
 		},
@@ -62,9 +62,9 @@
 			return &platform.Directory{Addresses: co.Addresses, Lifetime: min(coordinator.AddressLifetime, c.settings.Bounds.AddressLifetime), Logger: logger}
 		},
 	}
-	p, sweep := platform.New(c.settings)
-	go sweep(env.Stop)
-	if err := coordinator.New(c.settings, p, faces, c.read, logger).Run(env.Stop); err != nil {
+	p, closeIdle := platform.New(c.settings)
+	go closeIdle(env.Stop)
+	if err := coordinator.New(c.settings, p, handlers, c.readSettings, logger).Run(env.Stop); err != nil {
 		return fmt.Errorf("%w: %w", ErrUsage, err)
 	}
 	return nil
--- a/internal/commander/exit.go
+++ b/internal/commander/exit.go
@@ -17,13 +17,13 @@
 // ErrRefused is returned when an entry instance refused a command, or a check found faults.
 var ErrRefused = errors.New("refused")
 
-// ErrUsage is returned for wrong arguments or files.
-var ErrUsage = errors.New("wrong use")
+// ErrUsage is returned for invalid arguments or files.
+var ErrUsage = errors.New("usage error")
 
-// ErrUnreachable is returned when no entry instance answered.
+// ErrUnreachable is returned when no entry instance responded.
 var ErrUnreachable = errors.New("unreachable")
 
-// exitCode prints an error and returns the exit code for it.
+// exitCode prints err and returns its exit code.
 func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return ExitDone
--- a/internal/commander/key.go
+++ b/internal/commander/key.go
@@ -16,8 +16,8 @@
 	deferred
 	Site     `group:"Site"`
 	Operator `group:"Operator"`
-	Team     string `long:"Team" required:"true" description:"team that the key stands for"`
-	ID       string `long:"ID" required:"true" description:"id under which the key can be withdrawn"`
+	Team     string `long:"Team" required:"true" description:"team that the key belongs to"`
+	ID       string `long:"ID" required:"true" description:"id of the key, for withdrawing it later"`
 }
 
 func (c *grantCommand) validate() error {
@@ -30,17 +30,17 @@
 func (c *grantCommand) run(env *Environment) error {
 	key := rand.Text()
 	in := server.GrantRequest{ID: identifier.KeyID(c.ID), Hash: identifier.HashKey(key), Team: identifier.TeamID(c.Team)}
-	var answer server.ChangeResponse
-	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/keys", in, &answer); err != nil {
+	var response server.ChangeResponse
+	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/keys", in, &response); err != nil {
 		return err
 	}
 	if c.JSON {
 		return printJSON(env, struct {
 			server.ChangeResponse
 			Key string
-		}{answer, key})
+		}{response, key})
 	}
-	fmt.Fprintf(env.Stderr, "key %s works everywhere after %d ms\n", c.ID, answer.InForceMilliseconds)
+	fmt.Fprintf(env.Stderr, "key %s works everywhere after %d ms\n", c.ID, response.InForceMilliseconds)
 	fmt.Fprintln(env.Stdout, key)
 	return nil
 }
@@ -57,20 +57,20 @@
 }
 
 func (c *withdrawCommand) run(env *Environment) error {
-	var answer server.ChangeResponse
-	if err := callOperator(env, &c.Site, &c.Operator, http.MethodDelete, "/operator/keys/"+url.PathEscape(c.ID), nil, &answer); err != nil {
+	var response server.ChangeResponse
+	if err := callOperator(env, &c.Site, &c.Operator, http.MethodDelete, "/operator/keys/"+url.PathEscape(c.ID), nil, &response); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(env, answer)
+		return printJSON(env, response)
 	}
-	fmt.Fprintf(env.Stdout, "key %s no longer works anywhere after %d ms\n", c.ID, answer.InForceMilliseconds)
+	fmt.Fprintf(env.Stdout, "key %s no longer works anywhere after %d ms\n", c.ID, response.InForceMilliseconds)
 	return nil
 }
 
 type hashCommand struct {
 	deferred
-	KeyFile string `long:"KeyFile" value-name:"FILE" required:"true" description:"file that holds the key"`
+	KeyFile string `long:"KeyFile" value-name:"FILE" required:"true" description:"file with the key"`
 
 	key string
 }
--- a/internal/commander/load.go
+++ b/internal/commander/load.go
@@ -14,14 +14,14 @@
 	deferred
 	Site         `group:"Site"`
 	Team         `group:"Team"`
-	Model        string        `long:"Model" required:"true" description:"model to ask"`
-	Requests     int           `long:"Requests" default:"100" description:"number of requests in all"`
-	Concurrency  int           `long:"Concurrency" default:"8" description:"requests under way at once"`
+	Model        string        `long:"Model" required:"true" description:"name of the model"`
+	Requests     int           `long:"Requests" default:"100" description:"total number of requests"`
+	Concurrency  int           `long:"Concurrency" default:"8" description:"number of concurrent requests"`
 	PromptTokens int64         `long:"PromptTokens" default:"500" description:"mean prompt length in tokens"`
 	OutputTokens int64         `long:"OutputTokens" default:"50" description:"mean answer length in tokens"`
 	Swing        time.Duration `long:"Swing" default:"20s" description:"period in which the prompt-to-output ratio swings between half and double; 0 for none"`
 	Prefixes     int           `long:"Prefixes" default:"10" description:"number of different prompt prefixes"`
-	Seed         uint64        `long:"Seed" default:"1" description:"seed of the random choices"`
+	Seed         uint64        `long:"Seed" default:"1" description:"random seed"`
 }
 
 const maximumLoadRequests = 1_000_000
--- a/internal/commander/logger.go
+++ b/internal/commander/logger.go
@@ -5,10 +5,10 @@
 	"go.uber.org/zap"
 )
 
-// kratosLogger hands kratos' log lines to zap.
+// kratosLogger forwards the log messages of kratos to zap.
 type kratosLogger struct{ logger *zap.Logger }
 
-// Log writes one line.
+// Log writes one message; levels above info are logged as warnings.
 func (l kratosLogger) Log(level log.Level, keyvals ...any) error {
 	s := l.logger.Sugar()
 	switch level {
--- a/internal/commander/options.go
+++ b/internal/commander/options.go
@@ -16,47 +16,47 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 )
 
-// Environment is what a command runs in.
+// Environment holds the output streams, the HTTP client and the stop signal of a command.
 type Environment struct {
 	Stdout io.Writer
 	Stderr io.Writer
 	HTTP   *http.Client
-	// Stop ends when the process is asked to stop.
+	// Stop is cancelled when the process is asked to stop.
 	Stop context.Context
 }
 
-// Site says which entry instances to talk to.
+// Site holds the flags of a command that calls entry instances.
 type Site struct {
-	Entries []string      `long:"Entry" value-name:"URL" required:"true" description:"an entry instance, such as http://127.0.0.1:8101; may be given several times"`
-	Timeout time.Duration `long:"Timeout" default:"15s" description:"how long to wait for an answer"`
-	JSON    bool          `long:"Json" description:"print JSON for programs"`
+	Entries []string      `long:"Entry" value-name:"URL" required:"true" description:"URL of an entry instance, such as http://127.0.0.1:8101; may be given several times"`
+	Timeout time.Duration `long:"Timeout" default:"15s" description:"how long to wait for a response"`
+	JSON    bool          `long:"Json" description:"print JSON"`
 }
 
-// Operator says which key the operator has.
+// Operator holds the flag for the operators' key.
 type Operator struct {
-	KeyFile string `long:"OperatorKeyFile" value-name:"FILE" required:"true" description:"file that holds the operators' key"`
+	KeyFile string `long:"OperatorKeyFile" value-name:"FILE" required:"true" description:"file with the operators' key"`
 
 	key string
 }
 
-// Options are all commands with their arguments.
+// Options holds all commands with their flags.
 type Options struct {
 	Serve     serveCommand   `command:"serve" description:"run an entry instance"`
 	Entry     entryCommand   `command:"entry" description:"run an entry instance on the users' machines"`
 	Publish   publishCommand `command:"publish" description:"put an inventory and rules in force"`
 	Key       keyCommands    `command:"key" description:"grant or withdraw keys"`
-	Status    statusQuery    `command:"status" description:"show an entry instance and the fleet"`
+	Status    statusQuery    `command:"status" description:"show an entry instance, the members, the lease and the orders"`
 	Inventory inventoryQuery `command:"inventory" description:"show the inventory and rules in force"`
-	Usage     usageQuery     `command:"usage" description:"show the usage that is not yet reported"`
-	Explain   explainQuery   `command:"explain" description:"show the decisions made for a request"`
-	Trace     traceQuery     `command:"trace" description:"show from logs what decided a request, and why it ended as it did"`
+	Usage     usageQuery     `command:"usage" description:"show the usage that is not yet reported to the platform"`
+	Explain   explainQuery   `command:"explain" description:"show the routing decisions for a request"`
+	Trace     traceQuery     `command:"trace" description:"show from logs how a request was routed and why it ended as it did"`
 	Addresses addressesQuery `command:"addresses" description:"show the addresses that callers get"`
 	Check     checkCommand   `command:"check" description:"check settings, inventory and rules offline"`
-	Version   versionQuery   `command:"version" description:"print what was built"`
+	Version   versionQuery   `command:"version" description:"print the version, the commit and the Go version"`
 	Hash      hashCommand    `command:"hash" description:"print the hash of a key for OperatorKeyHash"`
 	Ask       askCommand     `command:"ask" description:"send one chat completion and print the answer"`
 	Call      callCommand    `command:"call" description:"send one call to a plain service and print the answer"`
-	Load      loadCommand    `command:"load" description:"send a bounded load with a shifting prompt-to-output mix"`
+	Load      loadCommand    `command:"load" description:"send a fixed number of requests with a varying prompt-to-output ratio"`
 }
 
 type keyCommands struct {
@@ -64,7 +64,7 @@
 	Withdraw withdrawCommand `command:"withdraw" description:"withdraw a key"`
 }
 
-// command is a parsed command: validate checks everything before run starts to work.
+// command is a parsed command; run is called only after validate has checked all arguments and files.
 type command interface {
 	validate() error
 	run(env *Environment) error
@@ -78,18 +78,18 @@
 	if _, err := parser.AddGroup("Options", "", options); err != nil {
 		return exitCode(err, env.Stderr)
 	}
-	describe(parser)
-	var chosen command
+	setHelp(parser)
+	var selected command
 	parser.CommandHandler = func(c flags.Commander, _ []string) error {
 		if c != nil {
-			chosen = c.(command)
+			selected = c.(command)
 		}
 		return nil
 	}
 	_, err := parser.ParseArgs(args)
-	var problem *flags.Error
-	if errors.As(err, &problem) && problem.Type == flags.ErrHelp {
-		fmt.Fprintln(env.Stdout, problem.Message)
+	var helpErr *flags.Error
+	if errors.As(err, &helpErr) && helpErr.Type == flags.ErrHelp {
+		fmt.Fprintln(env.Stdout, helpErr.Message)
 		return ExitDone
 	}
 	if err != nil {
@@ -98,16 +98,17 @@
 	if env.HTTP == nil {
 		env.HTTP = networker.Client(networker.TCP{}, true)
 	}
-	if err := chosen.validate(); err != nil {
+	if err := selected.validate(); err != nil {
 		return exitCode(err, env.Stderr)
 	}
-	return exitCode(chosen.run(env), env.Stderr)
+	return exitCode(selected.run(env), env.Stderr)
 }
 
-// deferred makes a struct a command of go-flags whose work starts after all arguments were validated.
+// deferred provides the Execute method that go-flags requires of a command; Run calls the command's run method instead,
+// after all arguments were validated.
 type deferred struct{}
 
-// Execute does nothing.
+// Execute implements flags.Commander and does nothing.
 func (deferred) Execute([]string) error { return nil }
 
 func (s *Site) validate() error {
--- a/internal/commander/publish.go
+++ b/internal/commander/publish.go
@@ -14,8 +14,8 @@
 	Site      `group:"Site"`
 	Operator  `group:"Operator"`
 	Inventory string `long:"Inventory" value-name:"FILE" required:"true" description:"inventory of zones, teams and targets"`
-	Rules     string `long:"Rules" value-name:"FILE" required:"true" description:"promises, team rules and routes"`
-	Base      int64  `long:"Base" default:"-1" description:"version that is replaced; another version in force is a conflict"`
+	Rules     string `long:"Rules" value-name:"FILE" required:"true" description:"promises, team rules, routes and scalings"`
+	Base      int64  `long:"Base" default:"-1" description:"version to replace; any other version in force is a conflict; -1 replaces the version in force"`
 
 	request server.PublishRequest
 }
@@ -56,13 +56,13 @@
 		}
 		c.request.BaseVersion = current.Version
 	}
-	var answer server.ChangeResponse
-	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/publish", c.request, &answer); err != nil {
+	var response server.ChangeResponse
+	if err := callOperator(env, &c.Site, &c.Operator, http.MethodPost, "/operator/publish", c.request, &response); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(env, answer)
+		return printJSON(env, response)
 	}
-	fmt.Fprintf(env.Stdout, "version %d is in force everywhere after %d ms\n", answer.Version, answer.InForceMilliseconds)
+	fmt.Fprintf(env.Stdout, "version %d is in force everywhere after %d ms\n", response.Version, response.InForceMilliseconds)
 	return nil
 }
--- a/internal/commander/query.go
+++ b/internal/commander/query.go
@@ -98,25 +98,25 @@
 	} `positional-args:"true"`
 }
 
-// run asks each entry instance, because only the one that served the request keeps its decisions.
+// run queries each entry instance, because only the one that served the request keeps its decisions.
 func (q *explainQuery) run(env *Environment) error {
-	var answer struct{ Decisions []string }
-	failed := fmt.Errorf("%w: no entry instance keeps a decision for the request", ErrRefused)
+	var response struct{ Decisions []string }
+	lastErr := fmt.Errorf("%w: no entry instance has a decision for the request", ErrRefused)
 	for _, entry := range q.Entries {
 		site := q.Site
 		site.Entries = []string{entry}
-		err := callOperator(env, &site, &q.Operator, http.MethodGet, "/operator/explain/"+url.PathEscape(q.Positional.RequestID), nil, &answer)
+		err := callOperator(env, &site, &q.Operator, http.MethodGet, "/operator/explain/"+url.PathEscape(q.Positional.RequestID), nil, &response)
 		if err == nil {
-			for _, line := range answer.Decisions {
+			for _, line := range response.Decisions {
 				fmt.Fprint(env.Stdout, line)
 			}
 			return nil
 		}
 		if !errors.Is(err, ErrRefused) {
-			failed = err
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
 type addressesQuery struct {
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -17,7 +17,7 @@
 type serveCommand struct {
 	deferred
 	Settings string `long:"Settings" value-name:"FILE" required:"true" description:"settings of the entry instance"`
-	Debug    bool   `long:"Debug" description:"log debug lines too"`
+	Debug    bool   `long:"Debug" description:"log debug messages too"`
 
 	settings *parser.Settings
 }
@@ -40,7 +40,7 @@
 		return err
 	}
 	logger := NewLogger(out, c.Debug).With(zap.String("Instance", string(c.settings.Instance)))
-	// kratos logs by a logger that all of the process shares.
+	// kratos logs through a process-wide logger.
 	log.SetLogger(kratosLogger{logger})
 	entry := runner.New(c.settings, networker.TCP{}, logger, out.Lines)
 	if err := entry.Run(env.Stop, context.Background()); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// NewLogger returns a logger of JSON lines with Pascal-case names.
+// NewLogger returns a logger that writes JSON lines with Pascal-case field names.
 func NewLogger(out zapcore.WriteSyncer, debug bool) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey, cfg.LevelKey, cfg.MessageKey, cfg.CallerKey, cfg.StacktraceKey = "Time", "Level", "Message", "", ""
--- a/internal/commander/trace.go
+++ b/internal/commander/trace.go
@@ -11,7 +11,7 @@
 
 type traceQuery struct {
 	deferred
-	Logs       []string `long:"Logs" value-name:"FILE" required:"true" description:"logs of entry instances; may be given several times, - stands for standard input"`
+	Logs       []string `long:"Logs" value-name:"FILE" required:"true" description:"log of an entry instance, or - for standard input; may be given several times"`
 	Positional struct {
 		RequestID string `positional-arg-name:"REQUEST-ID" required:"true"`
 	} `positional-args:"true"`
@@ -29,15 +29,15 @@
 	return nil
 }
 
-// run prints what the logs of all instances tell of one request.
+// run prints the trace of one request from the logs of all instances.
 func (q *traceQuery) run(env *Environment) error {
 	var lines []tracer.Line
 	for _, file := range q.Logs {
-		more, err := readLogs(env, file)
+		fileLines, err := readLogs(env, file)
 		if err != nil {
 			return err
 		}
-		lines = append(lines, more...)
+		lines = append(lines, fileLines...)
 	}
 	tracer.Sort(lines)
 	trace, err := tracer.Find(lines, q.Positional.RequestID)
@@ -60,11 +60,11 @@
 		defer f.Close()
 		r = f
 	}
-	lines, bad, err := tracer.Read(r, file)
+	lines, unreadable, err := tracer.Read(r, file)
 	if err != nil {
 		return nil, fmt.Errorf("%w: --Logs %s: %w", ErrUsage, file, err)
 	}
-	for _, u := range bad {
+	for _, u := range unreadable {
 		fmt.Fprintln(env.Stderr, "unreadable line", u)
 	}
 	return lines, nil
--- a/internal/commander/version.go
+++ b/internal/commander/version.go
@@ -9,11 +9,11 @@
 
 func (q *versionQuery) validate() error { return nil }
 
-// run prints what was built: the module's version, the commit, and the version of Go.
+// run prints the module version, the commit and the Go version.
 func (q *versionQuery) run(env *Environment) error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fmt.Errorf("%w: this program was built without build information", ErrRefused)
+		return fmt.Errorf("%w: the binary contains no build information", ErrRefused)
 	}
 	commit := "unknown"
 	for _, s := range info.Settings {
