--- a/internal/commander/commander_test.go
+++ b/internal/commander/commander_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestChangesGoToOneEntry checks that a change is not sent to a second entry after the first one aborted the connection,
-// since it may have executed the change. A query, or a change that could not be sent, goes to the second entry.
+// TestChangesGoToOneEntry checks that a change is not sent to a second entry after the first one aborted the
+// connection, since it may have executed the change. A query, or a change that could not be sent, goes to the second entry.
 func TestChangesGoToOneEntry(t *testing.T) {
 	key := filepath.Join(t.TempDir(), "operator.key")
 	quicktest.Assert(t, os.WriteFile(key, []byte("k"), 0o600), quicktest.IsNil)
--- a/internal/parser/doc.go
+++ b/internal/parser/doc.go
@@ -1,2 +1,2 @@
-// Package parser reads settings, inventory and rules from INI files and names every fault in one run.
+// Package parser parses settings, inventory and rules from INI files and reports all faults of a file in one run.
 package parser
--- a/internal/parser/document.go
+++ b/internal/parser/document.go
@@ -17,65 +17,66 @@
 	file   string
 	ini    *ini.File
 	faults Faults
-	asked  map[string]map[string]bool
+	// readKeys holds the keys that were read, by section name.
+	readKeys map[string]map[string]bool
 }
 
 func openDocument(file string, data []byte) (*document, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: false, Insensitive: false}, data)
-	d := &document{file: file, ini: f, asked: map[string]map[string]bool{}}
+	d := &document{file: file, ini: f, readKeys: map[string]map[string]bool{}}
 	if err != nil {
-		d.fault("", "", err.Error(), "INI syntax")
+		d.addFault("", "", err.Error(), "INI syntax")
 		return nil, d.faults
 	}
 	return d, nil
 }
 
-func (d *document) fault(section, key, value, allowed string) {
+func (d *document) addFault(section, key, value, allowed string) {
 	d.faults = append(d.faults, Fault{File: d.file, Section: section, Key: key, Value: value, Allowed: allowed})
 }
 
-// named returns the sections of the form "[Kind id]", in file order.
-func (d *document) named(kind string) []*section {
-	var found []*section
+// sectionsOfKind returns the sections with headings of the form "[Kind ID]", in file order.
+func (d *document) sectionsOfKind(kind string) []*section {
+	var sections []*section
 	for _, s := range d.ini.Sections() {
 		id, ok := strings.CutPrefix(s.Name(), kind+" ")
 		if ok {
-			found = append(found, d.open(s, strings.TrimSpace(id)))
+			sections = append(sections, d.newSection(s, strings.TrimSpace(id)))
 		}
 	}
-	return found
+	return sections
 }
 
-// single returns the section with the given name, which may be empty.
-func (d *document) single(name string) *section {
-	return d.open(d.ini.Section(name), name)
+// sectionNamed returns the section with the given name. A section that the file lacks is empty.
+func (d *document) sectionNamed(name string) *section {
+	return d.newSection(d.ini.Section(name), name)
 }
 
-func (d *document) open(s *ini.Section, id string) *section {
-	if d.asked[s.Name()] == nil {
-		d.asked[s.Name()] = map[string]bool{}
+func (d *document) newSection(s *ini.Section, id string) *section {
+	if d.readKeys[s.Name()] == nil {
+		d.readKeys[s.Name()] = map[string]bool{}
 	}
 	return &section{d: d, s: s, ID: id}
 }
 
-// finish reports sections and keys that nothing asked for.
-func (d *document) finish(kinds string) error {
+// finish adds a fault for each section and key that was not read, and returns all faults as an error.
+func (d *document) finish(allowedSections string) error {
 	for _, s := range d.ini.Sections() {
-		asked, known := d.asked[s.Name()]
+		readKeys, known := d.readKeys[s.Name()]
 		if !known && (s.Name() != ini.DefaultSection || len(s.Keys()) > 0) {
-			d.fault(s.Name(), "", "", "one of the sections "+kinds)
+			d.addFault(s.Name(), "", "", "one of the sections "+allowedSections)
 			continue
 		}
 		for _, k := range s.Keys() {
-			if !asked[k.Name()] {
-				d.fault(s.Name(), k.Name(), k.Value(), "one of the keys "+strings.Join(keysOf(asked), ", "))
+			if !readKeys[k.Name()] {
+				d.addFault(s.Name(), k.Name(), k.Value(), "one of the keys "+strings.Join(sortedKeys(readKeys), ", "))
 			}
 		}
 	}
-	return d.faults.orNil()
+	return d.faults.errorOrNil()
 }
 
-func keysOf(set map[string]bool) []string {
+func sortedKeys(set map[string]bool) []string {
 	names := make([]string, 0, len(set))
 	for name := range set {
 		names = append(names, name)
@@ -84,7 +85,7 @@
 	return names
 }
 
-// section reads typed values and records a fault for each that is not allowed.
+// section reads typed values and adds a fault for each invalid one.
 type section struct {
 	d  *document
 	s  *ini.Section
@@ -92,15 +93,15 @@
 }
 
 func (s *section) raw(key, fallback string) string {
-	s.d.asked[s.s.Name()][key] = true
+	s.d.readKeys[s.s.Name()][key] = true
 	if !s.s.HasKey(key) {
 		return fallback
 	}
 	return s.s.Key(key).String()
 }
 
-func (s *section) fault(key, value, allowed string) {
-	s.d.fault(s.s.Name(), key, value, allowed)
+func (s *section) addFault(key, value, allowed string) {
+	s.d.addFault(s.s.Name(), key, value, allowed)
 }
 
 func (s *section) text(key, fallback string) string { return s.raw(key, fallback) }
@@ -108,7 +109,7 @@
 func (s *section) required(key string) string {
 	v := s.raw(key, "")
 	if v == "" {
-		s.fault(key, v, "a value that is not empty")
+		s.addFault(key, v, "a non-empty value")
 	}
 	return v
 }
@@ -117,7 +118,7 @@
 	v := s.raw(key, fallback)
 	host, _, err := net.SplitHostPort(v)
 	if err != nil || net.ParseIP(host) == nil {
-		s.fault(key, v, "an IP number and port, such as 127.0.0.1:8080")
+		s.addFault(key, v, "an IP address and port, such as 127.0.0.1:8080")
 	}
 	return v
 }
@@ -126,7 +127,7 @@
 	v := s.raw(key, "")
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" || u.Host == "" {
-		s.fault(key, v, "a URL of the form http://HOST:PORT")
+		s.addFault(key, v, "a URL of the form http://HOST:PORT")
 	}
 	return v
 }
@@ -135,7 +136,7 @@
 	v := s.raw(key, strconv.FormatInt(fallback, 10))
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < low || n > high {
-		s.fault(key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
+		s.addFault(key, v, fmt.Sprintf("an integer from %d to %d", low, high))
 	}
 	return n
 }
@@ -148,7 +149,7 @@
 	v := s.raw(key, strconv.FormatFloat(fallback, 'g', -1, 64))
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= low && n <= high) {
-		s.fault(key, v, fmt.Sprintf("a number from %g to %g", low, high))
+		s.addFault(key, v, fmt.Sprintf("a number from %g to %g", low, high))
 	}
 	return n
 }
@@ -157,7 +158,7 @@
 	v := s.raw(key, strconv.FormatBool(fallback))
 	b, err := strconv.ParseBool(v)
 	if err != nil {
-		s.fault(key, v, "true or false")
+		s.addFault(key, v, "true or false")
 	}
 	return b
 }
@@ -171,13 +172,14 @@
 			names = append(names, name)
 		}
 		slices.Sort(names)
-		s.fault(key, v, strings.Join(names, ", "))
+		s.addFault(key, v, strings.Join(names, ", "))
 	}
 	return n
 }
 
-// list returns the comma-separated values of a key, each of which must be in allowed.
-func (s *section) list(key string, allowed map[string]bool, what string) []string {
+// list returns the comma-separated values of a key, each of which must be in allowed. A fault describes the allowed values
+// by expected.
+func (s *section) list(key string, allowed map[string]bool, expected string) []string {
 	var values []string
 	for _, v := range strings.Split(s.raw(key, ""), ",") {
 		v = strings.TrimSpace(v)
@@ -185,17 +187,17 @@
 			continue
 		}
 		if !allowed[v] {
-			s.fault(key, v, what)
+			s.addFault(key, v, expected)
 		}
 		values = append(values, v)
 	}
 	return values
 }
 
-func (s *section) reference(key string, allowed map[string]bool, what string) string {
+func (s *section) reference(key string, allowed map[string]bool, expected string) string {
 	v := s.raw(key, "")
 	if !allowed[v] {
-		s.fault(key, v, what)
+		s.addFault(key, v, expected)
 	}
 	return v
 }
--- a/internal/parser/entry_test.go
+++ b/internal/parser/entry_test.go
@@ -41,10 +41,10 @@
 	quicktest.Check(t, s.Routing, quicktest.Equals, parser.EntryRouting{Policy: chooser.LeastLoad})
 	quicktest.Check(t, s.Cloud, quicktest.Equals, "")
 	quicktest.Check(t, s.Bounds.Lease, quicktest.Equals, 3*time.Second)
-	quicktest.Check(t, s.Bounds.UsageWindow, quicktest.Equals, 5*time.Second, quicktest.Commentf("what a site leaves out"))
+	quicktest.Check(t, s.Bounds.UsageWindow, quicktest.Equals, 5*time.Second, quicktest.Commentf("an empty value gives the default"))
 	quicktest.Check(t, s.Bounds.Cores, quicktest.Equals, 0.8)
 
-	// All faults come in one run.
+	// One run reports all faults.
 	bad := strings.NewReplacer("ID = front-1\n", "", "10.0.0.1:81", "here", "3000", "soon", "10.0.0.2:8367", "seed", "LeastLoad", "Best\nStages = Some").Replace(entry) + "Colour = red\n"
 	_, err = parser.ParseEntrySettings("entry.ini", []byte(bad))
 	var faults parser.Faults
--- a/internal/parser/fault.go
+++ b/internal/parser/fault.go
@@ -9,7 +9,7 @@
 // ErrInvalid is wrapped by every error that reports faults of an input file.
 var ErrInvalid = errors.New("invalid input")
 
-// Fault is one value that is not allowed, with the place where it stands.
+// Fault is an invalid value with its location in the input file.
 type Fault struct {
 	File    string
 	Section string
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("%s: [%s] %s = %q: allowed: %s", f.File, f.Section, f.Key, f.Value, f.Allowed)
 }
 
-// Faults is a list of faults that serves as an error wrapping ErrInvalid.
+// Faults is a list of faults that is also an error; it wraps ErrInvalid.
 type Faults []Fault
 
-// Error returns one line for each fault.
+// Error returns the faults, one on each line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -38,7 +38,7 @@
 // Unwrap lets errors.Is find ErrInvalid.
 func (f Faults) Unwrap() error { return ErrInvalid }
 
-func (f Faults) orNil() error {
+func (f Faults) errorOrNil() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/internal/parser/inventory.go
+++ b/internal/parser/inventory.go
@@ -10,18 +10,18 @@
 	}
 	inv := &recorder.Inventory{}
 	zones := map[string]bool{}
-	for _, s := range d.named("AvailabilityZone") {
+	for _, s := range d.sectionsOfKind("AvailabilityZone") {
 		zones[s.ID] = true
 		inv.Zones = append(inv.Zones, &recorder.AvailabilityZone{ID: s.ID, Region: s.required("Region")})
 	}
-	for _, s := range d.named("Team") {
+	for _, s := range d.sectionsOfKind("Team") {
 		inv.Teams = append(inv.Teams, &recorder.Team{ID: s.ID, Partner: s.text("Partner", "")})
 	}
-	for _, s := range d.named("Target") {
+	for _, s := range d.sectionsOfKind("Target") {
 		inv.Targets = append(inv.Targets, parseTarget(s, zones))
 	}
 	if len(inv.Targets) == 0 {
-		d.fault("Target", "", "", "at least one target")
+		d.addFault("Target", "", "", "at least one target")
 	}
 	if err := d.finish("AvailabilityZone ID, Team ID, Target ID"); err != nil {
 		return nil, err
@@ -40,16 +40,16 @@
 		Role:                   recorder.Role(s.oneOf("Role", "Mixed", recorder.Role_value)),
 		ChecksFence:            s.boolean("ChecksFence", false),
 		Cheap:                  s.boolean("Cheap", false),
-		PricePerHour:           s.number("PricePerHour", 0, 0, maximumPrice),
+		PricePerHour:           s.number("PricePerHour", 0, 0, maximumPricePerHour),
 		PrefillTokensPerSecond: s.number("PrefillTokensPerSecond", defaultPrefillPerSecond, 1, maximumTokensPerSecond),
 		DecodeTokensPerSecond:  s.number("DecodeTokensPerSecond", defaultDecodePerSecond, 1, maximumTokensPerSecond),
 		Slots:                  s.integer("Slots", defaultSlots, 1, maximumSlots),
 	}
 	if t.Kind == recorder.TargetKind_Engine && t.Model == "" {
-		s.fault("Model", "", "the model that the engine serves")
+		s.addFault("Model", "", "the model that the engine serves")
 	}
 	if t.Kind == recorder.TargetKind_Service && t.Service == "" {
-		s.fault("Service", "", "the name of the service")
+		s.addFault("Service", "", "the name of the service")
 	}
 	return t
 }
--- a/internal/parser/parser_test.go
+++ b/internal/parser/parser_test.go
@@ -30,7 +30,7 @@
 	quicktest.Check(t, err, quicktest.IsNil)
 }
 
-// faults returns "section/key" of each fault.
+// faults returns "section/key" for each fault in err.
 func faults(err error) []string {
 	var list parser.Faults
 	errors.As(err, &list)
--- a/internal/parser/rules.go
+++ b/internal/parser/rules.go
@@ -6,25 +6,27 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// ParseRules reads promises, team rules and routes, checked against the inventory; the error holds Faults.
+// ParseRules reads the promise, team rules, routes and scalings and checks them against the inventory; the error holds
+// Faults.
 func ParseRules(file string, data []byte, inv *recorder.Inventory) (*recorder.Rules, error) {
 	d, err := openDocument(file, data)
 	if err != nil {
 		return nil, err
 	}
 	names := namesOf(inv)
-	p := d.single("Promise")
+	p := d.sectionNamed("Promise")
 	rules := &recorder.Rules{Promise: &recorder.Promise{
-		FirstTokenMilliseconds:    p.integer("FirstTokenMilliseconds", defaultFirstToken, 1, maximumMilliseconds),
-		BetweenTokensMilliseconds: p.integer("BetweenTokensMilliseconds", defaultBetweenTokens, 1, maximumMilliseconds),
+		FirstTokenMilliseconds: p.integer("FirstTokenMilliseconds", defaultFirstTokenMilliseconds, 1, maximumMilliseconds),
+		BetweenTokensMilliseconds: p.integer("BetweenTokensMilliseconds", defaultBetweenTokensMilliseconds, 1,
+			maximumMilliseconds),
 	}}
-	for _, s := range d.named("Team") {
+	for _, s := range d.sectionsOfKind("Team") {
 		rules.Teams = append(rules.Teams, parseTeamRule(s, names))
 	}
-	for _, s := range d.named("Route") {
+	for _, s := range d.sectionsOfKind("Route") {
 		rules.Routes = append(rules.Routes, parseRoute(s, names))
 	}
-	for _, s := range d.named("Scaling") {
+	for _, s := range d.sectionsOfKind("Scaling") {
 		rules.Scalings = append(rules.Scalings, parseScaling(s, names))
 	}
 	if err := d.finish("Promise, Team ID, Route PATH, Scaling MODEL"); err != nil {
@@ -59,7 +61,7 @@
 
 func parseTeamRule(s *section, names inventoryNames) *recorder.TeamRule {
 	if !names.teams[s.ID] {
-		s.fault("", s.ID, "a team of the inventory")
+		s.addFault("", s.ID, "a team of the inventory")
 	}
 	return &recorder.TeamRule{
 		Team:      s.ID,
@@ -71,7 +73,7 @@
 
 func parseScaling(s *section, names inventoryNames) *recorder.Scaling {
 	if !names.models[s.ID] {
-		s.fault("", s.ID, "a model of the inventory")
+		s.addFault("", s.ID, "a model of the inventory")
 	}
 	return &recorder.Scaling{
 		Model:          s.ID,
@@ -83,7 +85,7 @@
 
 func parseRoute(s *section, names inventoryNames) *recorder.Route {
 	if !strings.HasPrefix(s.ID, "/") {
-		s.fault("", s.ID, "a path that starts with /")
+		s.addFault("", s.ID, "a path that starts with /")
 	}
 	return &recorder.Route{
 		Path:       s.ID,
--- a/internal/parser/settings.go
+++ b/internal/parser/settings.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Settings configures one entry instance.
+// Settings configures an entry instance that the serve command runs.
 type Settings struct {
 	Instance        identifier.InstanceID
 	Zone            identifier.ZoneID
@@ -19,7 +19,7 @@
 	Timing          Timing
 }
 
-// Limits bounds what one entry instance accepts from callers.
+// Limits restricts what an entry instance accepts from callers.
 type Limits struct {
 	HeaderBytes    int
 	BodyBytes      int64
@@ -29,7 +29,7 @@
 	RequestTimeout time.Duration
 }
 
-// Timing holds the durations that the instances of one site share.
+// Timing holds the durations that all instances of a site have in common.
 type Timing struct {
 	Lease           time.Duration
 	DriftMargin     time.Duration
@@ -49,18 +49,19 @@
 		return nil, err
 	}
 	s := &Settings{}
-	i := d.single("Instance")
-	s.Instance = identifier.InstanceID(i.required("ID"))
-	s.Zone = identifier.ZoneID(i.required("AvailabilityZone"))
-	s.Listen = i.hostPort("Listen", "")
-	s.PeerListen = i.hostPort("PeerListen", "")
-	s.Platform = i.url("Platform")
-	s.OperatorKeyHash = identifier.KeyHash(i.text("OperatorKeyHash", ""))
+	instance := d.sectionNamed("Instance")
+	s.Instance = identifier.InstanceID(instance.required("ID"))
+	s.Zone = identifier.ZoneID(instance.required("AvailabilityZone"))
+	s.Listen = instance.hostPort("Listen", "")
+	s.PeerListen = instance.hostPort("PeerListen", "")
+	s.Platform = instance.url("Platform")
+	s.OperatorKeyHash = identifier.KeyHash(instance.text("OperatorKeyHash", ""))
 	if b, err := hex.DecodeString(string(s.OperatorKeyHash)); err != nil || len(b) != 32 {
-		i.fault("OperatorKeyHash", string(s.OperatorKeyHash), "64 hexadecimal digits, the SHA-256 digest of the operators' key")
+		instance.addFault("OperatorKeyHash", string(s.OperatorKeyHash),
+			"64 hexadecimal digits, the SHA-256 digest of the operators' key")
 	}
-	s.Limits = parseLimits(d.single("Limits"))
-	s.Timing = parseTiming(d.single("Timing"))
+	s.Limits = parseLimits(d.sectionNamed("Limits"))
+	s.Timing = parseTiming(d.sectionNamed("Timing"))
 	if err := d.finish("Instance, Limits, Timing"); err != nil {
 		return nil, err
 	}
@@ -91,7 +92,7 @@
 		Stop:            s.milliseconds("StopMilliseconds", defaultStopTimeout, minimumMilliseconds, maximumMilliseconds),
 	}
 	if t.OrderTimeout >= t.Lease {
-		s.fault("OrderMilliseconds", t.OrderTimeout.String(), "less than LeaseMilliseconds")
+		s.addFault("OrderMilliseconds", t.OrderTimeout.String(), "less than LeaseMilliseconds")
 	}
 	return t
 }
