--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -14,19 +14,19 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrNoEntry is returned when no entry instance could be asked for addresses.
-var ErrNoEntry = errors.New("no entry instance answers")
+// ErrNoEntry is returned when no entry instance returned addresses.
+var ErrNoEntry = errors.New("no entry instance responded with addresses")
 
-const maximumAnswerBytes = 1 << 20
+const maximumResponseBytes = 1 << 20
 
-// Address is one entry instance that takes callers.
+// Address is the address of an entry instance that accepts callers.
 type Address struct {
 	Address  string
 	Zone     identifier.ZoneID
 	Instance identifier.InstanceID
 }
 
-// Addresses is a ranked answer, the best first, with how long it may be cached.
+// Addresses lists entry instances, best first, with the time for which the list may be cached.
 type Addresses struct {
 	Addresses            []Address
 	LifetimeMilliseconds int64
@@ -43,42 +43,43 @@
 	expires time.Time
 }
 
-// Addresses returns the cached addresses, or asks for them.
+// Addresses returns the cached addresses, or fetches them if they have expired.
 func (c *Caller) Addresses(ctx context.Context) ([]Address, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Now().Before(c.expires) {
 		return c.cached.Addresses, nil
 	}
-	var failed error
-	for _, base := range c.sources() {
-		asked := time.Now()
-		answer, err := c.ask(ctx, base)
+	var lastErr error
+	for _, base := range c.directoryURLs() {
+		requestedAt := time.Now()
+		addresses, err := c.fetchAddresses(ctx, base)
 		if err != nil {
-			failed = err
+			lastErr = err
 			continue
 		}
-		c.cached = answer
-		c.expires = asked.Add(time.Duration(answer.LifetimeMilliseconds) * time.Millisecond)
-		return answer.Addresses, nil
+		c.cached = addresses
+		c.expires = requestedAt.Add(time.Duration(addresses.LifetimeMilliseconds) * time.Millisecond)
+		return addresses.Addresses, nil
 	}
-	return nil, fmt.Errorf("%w: %w", ErrNoEntry, failed)
+	return nil, fmt.Errorf("%w: %w", ErrNoEntry, lastErr)
 }
 
-// Forget drops the cached addresses, so that the next call asks again.
+// Forget expires the cached addresses, so that the next call fetches them again.
 func (c *Caller) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// Do sends a request that build makes for the best address that accepts a connection.
+// Do tries the addresses in ranked order until one accepts a connection; build returns the request for a base URL. A
+// request that may have been sent is not repeated at another address.
 func (c *Caller) Do(ctx context.Context, build func(base string) (*http.Request, error)) (*http.Response, error) {
 	addresses, err := c.Addresses(ctx)
 	if err != nil {
 		return nil, err
 	}
-	failed := ErrNoEntry
+	lastErr := ErrNoEntry
 	for _, a := range addresses {
 		req, err := build("http://" + a.Address)
 		if err != nil {
@@ -89,41 +90,41 @@
 			return resp, nil
 		}
 		c.Forget()
-		failed = err
+		lastErr = err
 		if !NotSent(err) {
 			return nil, err
 		}
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
-// sources returns the known entries first, then the seeds.
-func (c *Caller) sources() []string {
-	var list []string
+// directoryURLs returns the base URLs to fetch addresses from: the cached entry instances first, then the seeds.
+func (c *Caller) directoryURLs() []string {
+	var urls []string
 	for _, a := range c.cached.Addresses {
-		list = append(list, "http://"+a.Address)
+		urls = append(urls, "http://"+a.Address)
 	}
-	return append(list, c.Seeds...)
+	return append(urls, c.Seeds...)
 }
 
-func (c *Caller) ask(ctx context.Context, base string) (Addresses, error) {
-	var answer Addresses
+func (c *Caller) fetchAddresses(ctx context.Context, base string) (Addresses, error) {
+	var addresses Addresses
 	q := url.Values{"AvailabilityZone": {string(c.Zone)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/addresses?"+q.Encode(), nil)
 	if err != nil {
-		return answer, err
+		return addresses, err
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return answer, err
+		return addresses, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, fmt.Errorf("addresses from %s: status %d", base, resp.StatusCode)
+		return addresses, fmt.Errorf("addresses from %s: unexpected status %d", base, resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maximumAnswerBytes)).Decode(&answer)
-	if err == nil && len(answer.Addresses) == 0 {
-		err = fmt.Errorf("addresses from %s: empty", base)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maximumResponseBytes)).Decode(&addresses)
+	if err == nil && len(addresses.Addresses) == 0 {
+		err = fmt.Errorf("addresses from %s: empty list", base)
 	}
-	return answer, err
+	return addresses, err
 }
--- a/pkg/caller/doc.go
+++ b/pkg/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller asks entry instances for addresses, caches the answer and sends requests to them.
+// Package caller is a client for entry instances: it fetches and caches their addresses and sends requests to them.
 package caller
--- a/pkg/identifier/doc.go
+++ b/pkg/identifier/doc.go
@@ -1,2 +1,2 @@
-// Package identifier holds the named types for ids and units that the packages of coltsfootscale share.
+// Package identifier defines the types for ids and units that all packages of coltsfootscale use.
 package identifier
--- a/pkg/identifier/identifier.go
+++ b/pkg/identifier/identifier.go
@@ -5,28 +5,28 @@
 	"encoding/hex"
 )
 
-// InstanceID names an entry instance.
+// InstanceID identifies an entry instance.
 type InstanceID string
 
-// ZoneID names an availability zone.
+// ZoneID identifies an availability zone.
 type ZoneID string
 
-// TeamID names a team.
+// TeamID identifies a team.
 type TeamID string
 
-// TargetID names a target.
+// TargetID identifies a target.
 type TargetID string
 
-// ModelID names a model.
+// ModelID identifies a model.
 type ModelID string
 
-// KeyID names a key without revealing it.
+// KeyID identifies a key without revealing it.
 type KeyID string
 
-// RequestID names one request of a caller.
+// RequestID identifies one request of a caller.
 type RequestID string
 
-// StreamID names a stream of the platform's log.
+// StreamID identifies a stream of the platform's log.
 type StreamID string
 
 // Offset is a position in a stream of the platform's log.
@@ -44,17 +44,17 @@
 // KeyHash is the hex SHA-256 digest of a key.
 type KeyHash string
 
-// HashKey returns the digest under which a key is stored and compared.
+// HashKey returns the digest of a key, which is stored and compared instead of the key.
 func HashKey(key string) KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return KeyHash(hex.EncodeToString(sum[:]))
 }
 
-// ServiceID names a service of alike targets.
+// ServiceID identifies a service of interchangeable targets.
 type ServiceID string
 
-// RouteID names a route.
+// RouteID identifies a route.
 type RouteID string
 
-// PartID is a piece of a prompt that several requests may share.
+// PartID identifies a prompt part, which several requests may have in common.
 type PartID uint64
