--- a/internal/parser/rules.go
+++ b/internal/parser/rules.go
@@ -16,9 +16,8 @@
 	names := namesOf(inv)
 	p := d.sectionNamed("Promise")
 	rules := &recorder.Rules{Promise: &recorder.Promise{
-		FirstTokenMilliseconds: p.integer("FirstTokenMilliseconds", defaultFirstTokenMilliseconds, 1, maximumMilliseconds),
-		BetweenTokensMilliseconds: p.integer("BetweenTokensMilliseconds", defaultBetweenTokensMilliseconds, 1,
-			maximumMilliseconds),
+		FirstTokenMilliseconds:    p.integer("FirstTokenMilliseconds", defaultFirstTokenMilliseconds, 1, maximumMilliseconds),
+		BetweenTokensMilliseconds: p.integer("BetweenTokensMilliseconds", defaultBetweenTokensMilliseconds, 1, maximumMilliseconds),
 	}}
 	for _, s := range d.sectionsOfKind("Team") {
 		rules.Teams = append(rules.Teams, parseTeamRule(s, names))
