--- a/internal/commander/call.go
+++ b/internal/commander/call.go
@@ -16,7 +16,7 @@
 	Site           `group:"Site"`
 	Team           `group:"Team"`
 	Path           string `long:"Path" required:"true" description:"path of the service's route"`
-	IdempotencyKey string `long:"IdempotencyKey" description:"calls with the same key run at most once"`
+	IdempotencyKey string `long:"IdempotencyKey" description:"idempotency key; calls with the same key run at most once"`
 	Positional     struct {
 		Body string `positional-arg-name:"BODY"`
 	} `positional-args:"true"`
--- a/internal/commander/check.go
+++ b/internal/commander/check.go
@@ -10,15 +10,15 @@
 
 type checkCommand struct {
 	deferred
-	Settings  []string `long:"Settings" value-name:"FILE" description:"settings for the serve command; may be given several times"`
-	Entries   []string `long:"EntrySettings" value-name:"FILE" description:"settings for the entry command; may be given several times"`
-	Inventory string   `long:"Inventory" value-name:"FILE" description:"inventory"`
-	Rules     string   `long:"Rules" value-name:"FILE" description:"rules, checked against the inventory"`
-	JSON      bool     `long:"Json" description:"print JSON"`
+	Settings      []string `long:"Settings" value-name:"FILE" description:"settings for the serve command; may be given several times"`
+	EntrySettings []string `long:"EntrySettings" value-name:"FILE" description:"settings for the entry command; may be given several times"`
+	Inventory     string   `long:"Inventory" value-name:"FILE" description:"inventory"`
+	Rules         string   `long:"Rules" value-name:"FILE" description:"rules, checked against the inventory"`
+	JSON          bool     `long:"Json" description:"print JSON"`
 }
 
 func (c *checkCommand) validate() error {
-	if len(c.Settings) == 0 && len(c.Entries) == 0 && c.Inventory == "" && c.Rules == "" {
+	if len(c.Settings) == 0 && len(c.EntrySettings) == 0 && c.Inventory == "" && c.Rules == "" {
 		return fmt.Errorf("%w: nothing to check: give --Settings, --EntrySettings, --Inventory or --Rules", ErrUsage)
 	}
 	return nil
@@ -55,7 +55,7 @@
 		_, err = parser.ParseSettings(file, data)
 		faults = append(faults, faultsOf(err)...)
 	}
-	for _, file := range c.Entries {
+	for _, file := range c.EntrySettings {
 		data, err := readFile("--EntrySettings", file)
 		if err != nil {
 			return nil, err
--- a/internal/parser/entry.go
+++ b/internal/parser/entry.go
@@ -25,7 +25,7 @@
 	PeerListen string
 	Seeds      []string
 	Store      string
-	// Cloud is empty on a site without duties.
+	// Cloud is a base URL like Store; it is empty on a site without duties.
 	Cloud   string
 	Routing EntryRouting
 	Bounds  EntryBounds
--- a/internal/parser/parser_test.go
+++ b/internal/parser/parser_test.go
@@ -61,6 +61,7 @@
 		[]string{"Team nobody/", "Team nobody/Priority", "Route x/", "Route x/Service", "Route x/Teams", "Scaling m/"})
 }
 
+// FuzzParse checks that no input makes a parser panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[Target t]\nAddress = 1.2.3.4:5\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
