--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -26,7 +26,7 @@
 
 const maximumResponseBytes = 64 << 20
 
-// OldestOffset, as the start of a read, means the oldest retained offset.
+// OldestOffset is the start offset of a read that begins at the oldest retained record.
 const OldestOffset = identifier.Offset(1<<64 - 1)
 
 // Page holds consecutive records of a stream.
