--- a/internal/answerer/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package answerer writes error responses in the JSON form of the chat completions API. They also say whether the
-// request ran and when to retry it.
-package answerer
--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -8,7 +8,7 @@
 	"io"
 	"net/http"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/pkg/caller"
 )
 
@@ -60,7 +60,7 @@
 }
 
 func refusalError(resp *http.Response, data []byte) error {
-	var body answerer.Body
+	var body refuser.Body
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
 	}
--- a/internal/generator/generator.go
+++ b/internal/generator/generator.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/pkg/caller"
 )
 
@@ -94,7 +94,7 @@
 }
 
 func errorCode(r io.Reader) string {
-	var body answerer.Body
+	var body refuser.Body
 	data, _ := io.ReadAll(io.LimitReader(r, maximumErrorBody))
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return "Unreadable"
--- a/internal/answerer/refusal.go
+++ b/internal/refuser/refusal.go
@@ -1,4 +1,4 @@
-package answerer
+package refuser
 
 import (
 	"encoding/json"
--- a/internal/relayer/body.go
+++ b/internal/relayer/body.go
@@ -7,11 +7,11 @@
 	"os"
 	"time"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 )
 
 // readBody reads the request body within the size and time limits.
-func (s *Relayer) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *answerer.Refusal) {
+func (s *Relayer) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *refuser.Refusal) {
 	if r.ContentLength > s.Limits.BodyBytes {
 		return nil, tooLarge()
 	}
@@ -22,22 +22,22 @@
 		controller.SetReadDeadline(time.Time{})
 		return body, nil
 	}
-	refusal := &answerer.Refusal{Status: http.StatusBadRequest, Code: answerer.CodeMalformed, Run: answerer.NotRun, Message: "the body was cut short"}
+	refusal := &refuser.Refusal{Status: http.StatusBadRequest, Code: refuser.CodeMalformed, Run: refuser.NotRun, Message: "the body was cut short"}
 	var sizeErr *http.MaxBytesError
 	switch {
 	case errors.As(err, &sizeErr):
 		return nil, tooLarge()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		refusal.Status, refusal.Code = http.StatusRequestTimeout, answerer.CodeTooSlow
+		refusal.Status, refusal.Code = http.StatusRequestTimeout, refuser.CodeTooSlow
 		refusal.Message = "the body took longer than BodyMilliseconds allows"
 	}
 	return nil, refusal
 }
 
 // tooLarge returns the refusal of a body over the size limit.
-func tooLarge() *answerer.Refusal {
-	return &answerer.Refusal{
-		Status: http.StatusRequestEntityTooLarge, Code: answerer.CodeTooLarge, Run: answerer.NotRun,
+func tooLarge() *refuser.Refusal {
+	return &refuser.Refusal{
+		Status: http.StatusRequestEntityTooLarge, Code: refuser.CodeTooLarge, Run: refuser.NotRun,
 		Message: "the body is larger than BodyBytes allows",
 	}
 }
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
 	"github.com/coltsfootscale/coltsfootscale/internal/limiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/router"
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
@@ -51,7 +51,7 @@
 // Chat serves a chat completions request.
 func (s *Relayer) Chat(w http.ResponseWriter, r *http.Request) {
 	c := s.newCall(w, r)
-	body, refusal := s.receive(c, false, func(*call) *answerer.Refusal { return nil })
+	body, refusal := s.receive(c, false, func(*call) *refuser.Refusal { return nil })
 	if refusal != nil {
 		s.refuse(c, refusal)
 		return
@@ -67,13 +67,13 @@
 	s.serveChat(h)
 }
 
-func (s *Relayer) newChat(c *call, body []byte) (*chat, *answerer.Refusal) {
+func (s *Relayer) newChat(c *call, body []byte) (*chat, *refuser.Refusal) {
 	request, err := chatter.ParseRequest(body)
 	if err != nil {
-		return nil, &answerer.Refusal{Status: http.StatusBadRequest, Code: answerer.CodeMalformed, Run: answerer.NotRun, Message: err.Error()}
+		return nil, &refuser.Refusal{Status: http.StatusBadRequest, Code: refuser.CodeMalformed, Run: refuser.NotRun, Message: err.Error()}
 	}
 	if !c.view.HasModel(identifier.ModelID(request.Model)) {
-		return nil, &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownModel, Run: answerer.NotRun, Message: "no engine serves model " + request.Model}
+		return nil, &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownModel, Run: refuser.NotRun, Message: "no engine serves model " + request.Model}
 	}
 	return &chat{
 		call:         c,
@@ -133,11 +133,11 @@
 
 // retryRefusal returns the refusal if a failed request may not be retried; otherwise it takes a retry from the budget
 // and returns nil.
-func (s *Relayer) retryRefusal(h *chat, attempt int) *answerer.Refusal {
-	refusal := &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: answerer.Unknown, RetryAfter: shortRetryAfter}
+func (s *Relayer) retryRefusal(h *chat, attempt int) *refuser.Refusal {
+	refusal := &refuser.Refusal{Status: http.StatusBadGateway, Code: refuser.CodeTargetFailed, Run: refuser.Unknown, RetryAfter: shortRetryAfter}
 	switch {
 	case h.ctx.Err() != nil:
-		refusal.Status, refusal.Code = http.StatusGatewayTimeout, answerer.CodeTimeout
+		refusal.Status, refusal.Code = http.StatusGatewayTimeout, refuser.CodeTimeout
 		refusal.Message = "the answer took longer than RequestMilliseconds allows"
 	case attempt >= maximumAttempts:
 		refusal.Message = "several targets failed"
@@ -150,7 +150,7 @@
 }
 
 // route plans an attempt and, if it is the first, decides on admission.
-func (s *Relayer) route(h *chat, attempt int) (tracker.Plan, *answerer.Refusal) {
+func (s *Relayer) route(h *chat, attempt int) (tracker.Plan, *refuser.Refusal) {
 	req := router.Request{
 		Zone:         s.Zone,
 		PromptTokens: h.promptTokens + identifier.Tokens(h.delivered),
@@ -171,8 +171,8 @@
 		plan, ok = s.Tracker.Plan(name, req, onScore)
 	}
 	if !ok {
-		return plan, &answerer.Refusal{
-			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: runBefore(attempt),
+		return plan, &refuser.Refusal{
+			Status: http.StatusServiceUnavailable, Code: refuser.CodeNoTarget, Run: runBefore(attempt),
 			Message: "no target can serve the request now", RetryAfter: shortRetryAfter,
 		}
 	}
@@ -203,15 +203,15 @@
 }
 
 // runBefore returns whether the request may have run before the given attempt.
-func runBefore(attempt int) answerer.Run {
+func runBefore(attempt int) refuser.Run {
 	if attempt == 1 {
-		return answerer.NotRun
+		return refuser.NotRun
 	}
-	return answerer.Unknown
+	return refuser.Unknown
 }
 
 // admit decides on admission and returns the refusal, or nil if the request is admitted.
-func (s *Relayer) admit(h *chat, plan tracker.Plan) *answerer.Refusal {
+func (s *Relayer) admit(h *chat, plan tracker.Plan) *refuser.Refusal {
 	rate, share := s.Share(h.team, identifier.ModelID(h.request.Model))
 	decision := limiter.Admit(limiter.AdmissionInput{
 		Predicted: plan.Predicted,
@@ -224,18 +224,18 @@
 		return nil
 	}
 	s.Meter.AddRefused(identifier.ModelID(h.request.Model), h.uncachedTokens)
-	code := answerer.CodeOverloaded
+	code := refuser.CodeOverloaded
 	if decision.Reason == "OverShare" {
-		code = answerer.CodeOverShare
+		code = refuser.CodeOverShare
 	}
-	return &answerer.Refusal{
-		Status: http.StatusTooManyRequests, Code: code, Run: answerer.NotRun,
+	return &refuser.Refusal{
+		Status: http.StatusTooManyRequests, Code: code, Run: refuser.NotRun,
 		Message: "the promised latency cannot be met now: " + decision.Reason, RetryAfter: decision.RetryAfter,
 	}
 }
 
 // abort ends a request with an error response, or with an error event if the response has already started.
-func (s *Relayer) abort(h *chat, refusal *answerer.Refusal) {
+func (s *Relayer) abort(h *chat, refusal *refuser.Refusal) {
 	if !h.headerWritten {
 		s.refuse(h.call, refusal)
 		s.account(h, 0)
--- a/internal/relayer/intake_test.go
+++ b/internal/relayer/intake_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/frankban/quicktest"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 )
 
 // send writes raw bytes to a relayer's server, closes its write side if closeWrite is set, and returns the response.
@@ -51,7 +51,7 @@
 		t.Run(name, func(t *testing.T) {
 			resp := send(t, tc.raw, tc.closeWrite)
 			quicktest.Check(t, resp.StatusCode, quicktest.Equals, tc.status)
-			quicktest.Check(t, resp.Header.Get(answerer.RunHeader), quicktest.Equals, string(answerer.NotRun))
+			quicktest.Check(t, resp.Header.Get(refuser.RunHeader), quicktest.Equals, string(refuser.NotRun))
 		})
 	}
 }
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -11,9 +11,9 @@
 
 	"go.uber.org/zap"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/asserter"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 )
 
@@ -91,7 +91,7 @@
 
 // dispatch records that this instance will send the call. It returns the id of the record if this instance may send
 // it; otherwise the id is empty and the caller has been answered, unless a refusal is returned.
-func (s *Relayer) dispatch(v *serviceCall, key, digest string) (string, *answerer.Refusal) {
+func (s *Relayer) dispatch(v *serviceCall, key, digest string) (string, *refuser.Refusal) {
 	record := s.Journal.NewRecord()
 	record.Body = &recorder.Record_Dispatch{Dispatch: &recorder.Dispatch{Key: key, Digest: digest}}
 	ctx, cancel := context.WithTimeout(v.ctx, dispatchTimeout)
@@ -111,7 +111,7 @@
 	}
 	if v.ctx.Err() != nil {
 		s.releaseKey(key, record.ID)
-		return "", targetFailed(answerer.NotRun)
+		return "", targetFailed(refuser.NotRun)
 	}
 	v.logger.Info("Dispatch", zap.String("RecordID", record.ID), zap.Uint64("Offset", entry.Offset))
 	return record.ID, nil
@@ -121,8 +121,8 @@
 func (s *Relayer) replyFromJournal(v *serviceCall, entry *recorder.JournalEntry, digest string) {
 	switch result := entry.Result; {
 	case entry.Digest != digest:
-		s.refuse(v.call, &answerer.Refusal{
-			Status: http.StatusUnprocessableEntity, Code: answerer.CodeIdempotencyKeyReused, Run: answerer.NotRun,
+		s.refuse(v.call, &refuser.Refusal{
+			Status: http.StatusUnprocessableEntity, Code: refuser.CodeIdempotencyKeyReused, Run: refuser.NotRun,
 			Message: "the idempotency key was used for a different call",
 		})
 	case result == nil:
@@ -141,10 +141,10 @@
 	v.logger.Info("Fail", zap.Error(err))
 	if errors.Is(err, ErrNotSent) {
 		s.releaseKey(key, dispatchID)
-		s.refuse(v.call, targetFailed(answerer.NotRun))
+		s.refuse(v.call, targetFailed(refuser.NotRun))
 		return
 	}
-	s.refuse(v.call, targetFailed(answerer.Unknown))
+	s.refuse(v.call, targetFailed(refuser.Unknown))
 }
 
 func (s *Relayer) recordResult(key, dispatchID string, a *reply) {
@@ -178,23 +178,23 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-func journalUnavailable() *answerer.Refusal {
-	return &answerer.Refusal{
-		Status: http.StatusServiceUnavailable, Code: answerer.CodeJournalUnavailable, Run: answerer.NotRun,
+func journalUnavailable() *refuser.Refusal {
+	return &refuser.Refusal{
+		Status: http.StatusServiceUnavailable, Code: refuser.CodeJournalUnavailable, Run: refuser.NotRun,
 		Message: "the call cannot be recorded now, so it was not sent", RetryAfter: journalRetryAfter,
 	}
 }
 
-func inProgress() *answerer.Refusal {
-	return &answerer.Refusal{
-		Status: http.StatusConflict, Code: answerer.CodeInProgress, Run: answerer.Unknown,
+func inProgress() *refuser.Refusal {
+	return &refuser.Refusal{
+		Status: http.StatusConflict, Code: refuser.CodeInProgress, Run: refuser.Unknown,
 		Message: "a call with this idempotency key is in progress", RetryAfter: shortRetryAfter,
 	}
 }
 
-func outcomeUnknown() *answerer.Refusal {
-	return &answerer.Refusal{
-		Status: http.StatusConflict, Code: answerer.CodeOutcomeUnknown, Run: answerer.Unknown,
+func outcomeUnknown() *refuser.Refusal {
+	return &refuser.Refusal{
+		Status: http.StatusConflict, Code: refuser.CodeOutcomeUnknown, Run: refuser.Unknown,
 		Message: "a call with this idempotency key was sent and its outcome is unknown", RetryAfter: shortRetryAfter,
 	}
 }
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -12,12 +12,12 @@
 	"go.uber.org/zap"
 
 	"github.com/coltsfootscale/coltsfootscale/internal/accounter"
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/asserter"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
 	"github.com/coltsfootscale/coltsfootscale/internal/limiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/parser"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/retrier"
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
@@ -78,7 +78,7 @@
 
 // receive authenticates the caller and reads the body, or returns why the request is refused. It authenticates again
 // after reading the body, because the key may have been withdrawn in the meantime.
-func (s *Relayer) receive(c *call, open bool, check func(*call) *answerer.Refusal) ([]byte, *answerer.Refusal) {
+func (s *Relayer) receive(c *call, open bool, check func(*call) *refuser.Refusal) ([]byte, *refuser.Refusal) {
 	if refusal := s.authenticate(c, open); refusal != nil {
 		return nil, refusal
 	}
@@ -94,13 +94,13 @@
 }
 
 // authenticate sets the view and the team whose key the request carries; open routes need no key.
-func (s *Relayer) authenticate(c *call, open bool) *answerer.Refusal {
+func (s *Relayer) authenticate(c *call, open bool) *refuser.Refusal {
 	// Load the view after the check, so that it is at least as new as the one that the check relied on.
 	serving := s.Serving()
 	c.view = s.View()
 	if !serving {
-		return &answerer.Refusal{
-			Status: http.StatusServiceUnavailable, Code: answerer.CodeNotServing, Run: answerer.NotRun,
+		return &refuser.Refusal{
+			Status: http.StatusServiceUnavailable, Code: refuser.CodeNotServing, Run: refuser.NotRun,
 			Message: "this instance cannot tell whether its configuration is current", RetryAfter: shortRetryAfter,
 		}
 	}
@@ -117,13 +117,13 @@
 	return nil
 }
 
-func unauthorized(message string) *answerer.Refusal {
-	return &answerer.Refusal{Status: http.StatusUnauthorized, Code: answerer.CodeUnauthorized, Run: answerer.NotRun, Message: message}
+func unauthorized(message string) *refuser.Refusal {
+	return &refuser.Refusal{Status: http.StatusUnauthorized, Code: refuser.CodeUnauthorized, Run: refuser.NotRun, Message: message}
 }
 
 // refuse writes a refusal to the caller and counts it.
-func (s *Relayer) refuse(c *call, refusal *answerer.Refusal) {
-	asserter.That(refusal.Run != answerer.NotRun || !c.sent.Load(), asserter.NotRunIsTrue, "request %s: %s", c.id, refusal.Code)
+func (s *Relayer) refuse(c *call, refusal *refuser.Refusal) {
+	asserter.That(refusal.Run != refuser.NotRun || !c.sent.Load(), asserter.NotRunIsTrue, "request %s: %s", c.id, refusal.Code)
 	s.Metrics.Tagged(map[string]string{"Code": string(refusal.Code)}).Counter("Refusals").Inc(1)
 	c.logger.Info("Refuse",
 		zap.String("Code", string(refusal.Code)),
--- a/internal/relayer/run_test.go
+++ b/internal/relayer/run_test.go
@@ -10,11 +10,11 @@
 
 	"github.com/frankban/quicktest"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
 	"github.com/coltsfootscale/coltsfootscale/internal/journaler"
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/relayer"
 )
 
@@ -65,12 +65,12 @@
 	for name, tc := range map[string]struct {
 		address        string
 		body           string
-		run            answerer.Run
+		run            refuser.Run
 		wantExecutions int64
 	}{
-		"executed, connection broken":               {broken.Listener.Addr().String(), "x", answerer.Unknown, 1},
-		"executed, connection broken, without body": {broken.Listener.Addr().String(), "", answerer.Unknown, 1},
-		"no connection":                             {closed.Listener.Addr().String(), "x", answerer.NotRun, 0},
+		"executed, connection broken":               {broken.Listener.Addr().String(), "x", refuser.Unknown, 1},
+		"executed, connection broken, without body": {broken.Listener.Addr().String(), "", refuser.Unknown, 1},
+		"no connection":                             {closed.Listener.Addr().String(), "x", refuser.NotRun, 0},
 	} {
 		for _, key := range []string{"", "k"} {
 			executions.Store(0)
@@ -83,7 +83,7 @@
 			w := httptest.NewRecorder()
 			r.Service(w, req)
 			c := quicktest.Commentf("%s, key %q: %s", name, key, w.Body)
-			quicktest.Check(t, answerer.Run(w.Header().Get(answerer.RunHeader)), quicktest.Equals, tc.run, c)
+			quicktest.Check(t, refuser.Run(w.Header().Get(refuser.RunHeader)), quicktest.Equals, tc.run, c)
 			quicktest.Check(t, executions.Load(), quicktest.Equals, tc.wantExecutions, c)
 		}
 	}
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -14,9 +14,9 @@
 	"github.com/cespare/xxhash/v2"
 	"go.uber.org/zap"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/router"
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
@@ -44,7 +44,7 @@
 func (s *Relayer) Service(w http.ResponseWriter, r *http.Request) {
 	route := s.View().Route(r.URL.Path)
 	c := s.newCall(w, r)
-	body, refusal := s.receive(c, route.GetOpen(), func(c *call) *answerer.Refusal { return checkRoute(route, c) })
+	body, refusal := s.receive(c, route.GetOpen(), func(c *call) *refuser.Refusal { return checkRoute(route, c) })
 	if refusal != nil {
 		s.refuse(c, refusal)
 		return
@@ -61,12 +61,12 @@
 }
 
 // checkRoute returns a refusal if there is no route or the team may not use it.
-func checkRoute(route *recorder.Route, c *call) *answerer.Refusal {
+func checkRoute(route *recorder.Route, c *call) *refuser.Refusal {
 	if route == nil {
-		return &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRoute, Run: answerer.NotRun, Message: "no route for " + c.r.URL.Path}
+		return &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRoute, Run: refuser.NotRun, Message: "no route for " + c.r.URL.Path}
 	}
 	if len(route.Teams) > 0 && !route.Open && !slices.Contains(route.Teams, string(c.team)) {
-		return &answerer.Refusal{Status: http.StatusForbidden, Code: answerer.CodeForbidden, Run: answerer.NotRun, Message: "the route is not open to this team"}
+		return &refuser.Refusal{Status: http.StatusForbidden, Code: refuser.CodeForbidden, Run: refuser.NotRun, Message: "the route is not open to this team"}
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 // serveService serves a call without a journal record. It retries only calls that are repeatable or were not sent.
 func (s *Relayer) serveService(v *serviceCall) {
 	s.Budget.AddRequest()
-	run := answerer.NotRun
+	run := refuser.NotRun
 	for attempt := 1; ; attempt++ {
 		answer, refusal, err := s.routeAndSend(v, attempt)
 		if refusal != nil {
@@ -94,7 +94,7 @@
 		}
 		notSent := errors.Is(err, ErrNotSent)
 		if !notSent {
-			run = answerer.Unknown
+			run = refuser.Unknown
 		}
 		if attempt < maximumAttempts && (notSent || v.repeatable()) && v.ctx.Err() == nil && s.Budget.TakeRetry() {
 			continue
@@ -104,12 +104,12 @@
 	}
 }
 
-func targetFailed(run answerer.Run) *answerer.Refusal {
-	return &answerer.Refusal{Status: http.StatusBadGateway, Code: answerer.CodeTargetFailed, Run: run, Message: "the target failed", RetryAfter: shortRetryAfter}
+func targetFailed(run refuser.Run) *refuser.Refusal {
+	return &refuser.Refusal{Status: http.StatusBadGateway, Code: refuser.CodeTargetFailed, Run: run, Message: "the target failed", RetryAfter: shortRetryAfter}
 }
 
 // routeAndSend chooses a target and sends the call to it.
-func (s *Relayer) routeAndSend(v *serviceCall, attempt int) (*reply, *answerer.Refusal, error) {
+func (s *Relayer) routeAndSend(v *serviceCall, attempt int) (*reply, *refuser.Refusal, error) {
 	assignment, refusal := s.routeService(v, attempt)
 	if refusal != nil {
 		return nil, refusal, nil
@@ -123,7 +123,7 @@
 	return answer, nil, err
 }
 
-func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Assignment, *answerer.Refusal) {
+func (s *Relayer) routeService(v *serviceCall, attempt int) (tracker.Assignment, *refuser.Refusal) {
 	req := &router.Request{
 		Zone:        s.Zone,
 		Random:      xxhash.Sum64String(string(v.id)) + uint64(attempt),
@@ -133,12 +133,12 @@
 	}
 	assignment, _, ok := s.Tracker.Choose(tracker.ServiceGroup(v.route.Service), req, nil)
 	if !ok {
-		run := answerer.NotRun
+		run := refuser.NotRun
 		if len(v.tried) > 0 && v.repeatable() {
-			run = answerer.Unknown
+			run = refuser.Unknown
 		}
-		return assignment, &answerer.Refusal{
-			Status: http.StatusServiceUnavailable, Code: answerer.CodeNoTarget, Run: run,
+		return assignment, &refuser.Refusal{
+			Status: http.StatusServiceUnavailable, Code: refuser.CodeNoTarget, Run: run,
 			Message: "no target can serve the call now", RetryAfter: shortRetryAfter,
 		}
 	}
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/frankban/quicktest"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 )
 
 // sweepKillTimes kills the serving entry at points in time from acceptance to answer, repeats the call at another
@@ -25,7 +25,7 @@
 		s.platform.SetFaults(imitator.PlatformFaults{DelayMilliseconds: 20})
 		for after := time.Duration(0); after < 240*time.Millisecond; after += 15 * time.Millisecond {
 			key := fmt.Sprintf("tab-%d", after.Milliseconds())
-			first := make(chan answerer.Run, 1)
+			first := make(chan refuser.Run, 1)
 			go func() {
 				_, run, _ := s.settle("entry-b", "secret", key)
 				first <- run
@@ -36,7 +36,7 @@
 			_, secondRun, _ := s.settle("entry-c", "secret", key)
 			executions := s.service.Counts().Executions[key]
 			maximum = max(maximum, executions)
-			reportedNotRun := firstRun == answerer.NotRun && secondRun == answerer.NotRun
+			reportedNotRun := firstRun == refuser.NotRun && secondRun == refuser.NotRun
 			quicktest.Check(t, reportedNotRun && executions > 0, quicktest.IsFalse, quicktest.Commentf("killed after %s: executed %d times but reported as NotRun", after, executions))
 			s.startEntry("entry-b")
 			s.waitFor(20*time.Second, func() bool { return s.servingEntries() == 3 })
@@ -89,7 +89,7 @@
 		s.network.Kill("service")
 		status, run, _ := s.settle("entry-a", "secret", "tab-1")
 		c.Check(status, quicktest.Equals, http.StatusBadGateway)
-		c.Check(run, quicktest.Equals, answerer.NotRun)
+		c.Check(run, quicktest.Equals, refuser.NotRun)
 		s.serve("service", serviceAddr, s.service.Handler())
 		time.Sleep(3 * time.Second)
 		status, _, body := s.settle("entry-b", "secret", "tab-1")
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -21,13 +21,13 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/asserter"
 	"github.com/coltsfootscale/coltsfootscale/internal/chatter"
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 	"github.com/coltsfootscale/coltsfootscale/internal/parser"
 	"github.com/coltsfootscale/coltsfootscale/internal/provider"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/runner"
 	"github.com/coltsfootscale/coltsfootscale/internal/server"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
@@ -303,9 +303,9 @@
 }
 
 // settle sends a call that must not be executed twice.
-func (s *site) settle(name, key, idempotencyKey string) (status int, run answerer.Run, body string) {
+func (s *site) settle(name, key, idempotencyKey string) (status int, run refuser.Run, body string) {
 	status, header, body := s.roundTrip(name, http.MethodPost, "/settlements", key, map[string]string{"Idempotency-Key": idempotencyKey}, []byte(`{"Tab":7}`))
-	return status, answerer.Run(header.Get(answerer.RunHeader)), body
+	return status, refuser.Run(header.Get(refuser.RunHeader)), body
 }
 
 // reportedUsage returns the usage of each team, summed over all reported windows, and the number of windows.
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/frankban/quicktest"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -60,13 +60,13 @@
 	activeFaults map[string]bool
 	finished     int
 	uncertain    int
-	runs         map[string][]answerer.Run
+	runs         map[string][]refuser.Run
 	succeeded    map[string]int
 	group        sync.WaitGroup
 }
 
 func newSoak(t *testing.T, s *site, seed uint64) *soak {
-	return &soak{site: s, t: t, r: rand.New(rand.NewPCG(seed, 0)), activeFaults: map[string]bool{}, runs: map[string][]answerer.Run{}, succeeded: map[string]int{}}
+	return &soak{site: s, t: t, r: rand.New(rand.NewPCG(seed, 0)), activeFaults: map[string]bool{}, runs: map[string][]refuser.Run{}, succeeded: map[string]int{}}
 }
 
 func (k *soak) run() {
@@ -320,7 +320,7 @@
 	for _, key := range slices.Sorted(maps.Keys(k.runs)) {
 		n := service.Executions[key]
 		c.Check(n <= 1, quicktest.IsTrue, quicktest.Commentf("%s was executed %d times", key, n))
-		allNotRun := !slices.ContainsFunc(k.runs[key], func(r answerer.Run) bool { return r != answerer.NotRun })
+		allNotRun := !slices.ContainsFunc(k.runs[key], func(r refuser.Run) bool { return r != refuser.NotRun })
 		c.Check(allNotRun && n > 0, quicktest.IsFalse, quicktest.Commentf("%s was executed but reported as NotRun", key))
 		c.Check(k.succeeded[key] > 0 && n == 0, quicktest.IsFalse, quicktest.Commentf("%s was answered but never executed", key))
 	}
--- a/internal/server/commands.go
+++ b/internal/server/commands.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
 	"github.com/coltsfootscale/coltsfootscale/internal/parser"
 	"github.com/coltsfootscale/coltsfootscale/internal/provider"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -52,7 +52,7 @@
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		hash := identifier.HashKey(key)
 		if subtle.ConstantTimeCompare([]byte(hash), []byte(s.OperatorKeyHash)) != 1 {
-			refusal := &answerer.Refusal{Status: http.StatusUnauthorized, Code: answerer.CodeUnauthorized, Run: answerer.NotRun, Message: "missing or wrong operator key"}
+			refusal := &refuser.Refusal{Status: http.StatusUnauthorized, Code: refuser.CodeUnauthorized, Run: refuser.NotRun, Message: "missing or wrong operator key"}
 			refusal.Write(w)
 			return
 		}
@@ -116,16 +116,16 @@
 	defer cancel()
 	started := time.Now()
 	offset, err := s.Administrator.Change(ctx, record)
-	refusal := &answerer.Refusal{Status: http.StatusServiceUnavailable, Code: answerer.CodeNotConfirmed, Run: answerer.Unknown, RetryAfter: commandRetryAfter}
+	refusal := &refuser.Refusal{Status: http.StatusServiceUnavailable, Code: refuser.CodeNotConfirmed, Run: refuser.Unknown, RetryAfter: commandRetryAfter}
 	switch {
 	case err == nil:
 		version := identifier.Version(s.View().State.GetVersion())
 		writeJSON(w, ChangeResponse{Offset: offset, Version: version, InForceMilliseconds: time.Since(started).Milliseconds()})
 		return
 	case errors.Is(err, configurator.ErrConflict):
-		refusal.Status, refusal.Code, refusal.Run, refusal.RetryAfter = http.StatusConflict, answerer.CodeConflict, answerer.NotRun, 0
+		refusal.Status, refusal.Code, refusal.Run, refusal.RetryAfter = http.StatusConflict, refuser.CodeConflict, refuser.NotRun, 0
 	case errors.Is(err, provider.ErrRefused):
-		refusal.Run = answerer.NotRun
+		refusal.Run = refuser.NotRun
 	}
 	refusal.Message = err.Error()
 	refusal.Write(w)
@@ -138,7 +138,7 @@
 		err = json.Unmarshal(data, in)
 	}
 	if err != nil {
-		refusal := &answerer.Refusal{Status: http.StatusBadRequest, Code: answerer.CodeMalformed, Run: answerer.NotRun, Message: err.Error()}
+		refusal := &refuser.Refusal{Status: http.StatusBadRequest, Code: refuser.CodeMalformed, Run: refuser.NotRun, Message: err.Error()}
 		refusal.Write(w)
 		return false
 	}
@@ -146,7 +146,7 @@
 }
 
 func writeInvalid(w http.ResponseWriter, err error) {
-	refusal := &answerer.Refusal{Status: http.StatusUnprocessableEntity, Code: answerer.CodeInvalid, Run: answerer.NotRun, Message: err.Error()}
+	refusal := &refuser.Refusal{Status: http.StatusUnprocessableEntity, Code: refuser.CodeInvalid, Run: refuser.NotRun, Message: err.Error()}
 	refusal.Write(w)
 }
 
--- a/internal/server/queries.go
+++ b/internal/server/queries.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -37,7 +37,7 @@
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	lines := s.Explain(identifier.RequestID(r.PathValue("id")))
 	if len(lines) == 0 {
-		refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRequest, Run: answerer.NotRun, Message: "this instance has no decisions for this request"}
+		refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRequest, Run: refuser.NotRun, Message: "this instance has no decisions for this request"}
 		refusal.Write(w)
 		return
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -4,8 +4,8 @@
 	"net/http"
 
 	"github.com/coltsfootscale/coltsfootscale/internal/administrator"
-	"github.com/coltsfootscale/coltsfootscale/internal/answerer"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
+	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 	"github.com/coltsfootscale/coltsfootscale/internal/relayer"
 	"github.com/coltsfootscale/coltsfootscale/pkg/caller"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
@@ -49,7 +49,7 @@
 }
 
 func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
-	refusal := &answerer.Refusal{Status: http.StatusNotFound, Code: answerer.CodeUnknownRoute, Run: answerer.NotRun, Message: "unknown operator path " + r.URL.Path}
+	refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRoute, Run: refuser.NotRun, Message: "unknown operator path " + r.URL.Path}
 	refusal.Write(w)
 }
 
