--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -18,9 +18,9 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/asserter"
 	"github.com/coltsfootscale/coltsfootscale/internal/chooser"
 	"github.com/coltsfootscale/coltsfootscale/internal/counter"
-	"github.com/coltsfootscale/coltsfootscale/internal/demander"
 	"github.com/coltsfootscale/coltsfootscale/internal/director"
 	"github.com/coltsfootscale/coltsfootscale/internal/elector"
+	"github.com/coltsfootscale/coltsfootscale/internal/estimator"
 	"github.com/coltsfootscale/coltsfootscale/internal/exchanger"
 	"github.com/coltsfootscale/coltsfootscale/internal/follower"
 	"github.com/coltsfootscale/coltsfootscale/internal/forwarder"
@@ -95,7 +95,7 @@
 	table           atomic.Pointer[matcher.Table]
 	registry        registrar.Registrar
 	targetStates    chooser.TargetStates
-	demand          demander.Demand
+	demand          estimator.Demand
 	counts          counter.Counter
 	retryBudget     *retrier.WindowedBudget
 	peers           *gossiper.Gossiper
--- a/internal/demander/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package demander measures the prefill demand of each service, on this instance and on its peers, and its recent peak.
-package demander
--- a/internal/demander/demander.go
+++ b/internal/estimator/estimator.go
@@ -1,4 +1,4 @@
-package demander
+package estimator
 
 import (
 	"math"
--- a/internal/demander/demander_test.go
+++ b/internal/estimator/estimator_test.go
@@ -1,4 +1,4 @@
-package demander_test
+package estimator_test
 
 import (
 	"testing"
@@ -6,13 +6,13 @@
 
 	"github.com/frankban/quicktest"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/demander"
+	"github.com/coltsfootscale/coltsfootscale/internal/estimator"
 )
 
 // TestPeak checks that the peak adds up the demand of this instance and of a peer during a burst, and halves a minute
 // later.
 func TestPeak(t *testing.T) {
-	var d demander.Demand
+	var d estimator.Demand
 	now := time.Unix(1000, 0)
 	quicktest.Assert(t, d.Peak("s"), quicktest.Equals, 0.0)
 	for range 10 {
