--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/coltsfootscale/coltsfootscale/internal/arbiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
-	"github.com/coltsfootscale/coltsfootscale/internal/freshener"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
 	"github.com/coltsfootscale/coltsfootscale/internal/tailer"
@@ -26,7 +26,7 @@
 	Config *tailer.Tailer
 	Fold   *configurator.Fold
 	// Members returns the members with the state from their last heartbeats.
-	Members func() []freshener.Member
+	Members func() []arbiter.Member
 	// LastRemoval returns when a member was last removed.
 	LastRemoval func() time.Time
 	// Freshness is how long an instance may serve after its configuration was last known to be complete.
@@ -48,7 +48,7 @@
 		return offset, fmt.Errorf("%w: %s", configurator.ErrConflict, verdict.Reason)
 	}
 	started := time.Now()
-	acceptance := freshener.Acceptance{Offset: offset, Bound: a.Freshness, Margin: a.Margin}
+	acceptance := arbiter.Acceptance{Offset: offset, Bound: a.Freshness, Margin: a.Margin}
 	for !acceptance.InForce(time.Now(), a.LastRemoval(), a.Members()) {
 		if err := sleeper.Sleep(ctx, pollInterval); err != nil {
 			return offset, fmt.Errorf("%w: offset %d", ErrNotInForce, offset)
--- a/internal/administrator/membership.go
+++ b/internal/administrator/membership.go
@@ -8,8 +8,8 @@
 
 	"go.uber.org/zap"
 
+	"github.com/coltsfootscale/coltsfootscale/internal/arbiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
-	"github.com/coltsfootscale/coltsfootscale/internal/freshener"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
@@ -62,7 +62,7 @@
 	if count == 0 {
 		return version, nil
 	}
-	if !freshener.HeldByMajority(offset, a.Members()) {
+	if !arbiter.HeldByMajority(offset, a.Members()) {
 		return 0, fmt.Errorf("%w: membership %d", ErrNoMajority, version)
 	}
 	return version, nil
--- a/internal/freshener/rule.go
+++ b/internal/arbiter/rule.go
@@ -1,4 +1,4 @@
-package freshener
+package arbiter
 
 import (
 	"slices"
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/freshener"
+	"github.com/coltsfootscale/coltsfootscale/internal/arbiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/messenger"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 	"github.com/coltsfootscale/coltsfootscale/internal/tailer"
@@ -141,14 +141,14 @@
 //
 // A heartbeat of another incarnation that was requested after the member was first seen shows that the member's
 // process is gone, because another process has taken over its address.
-func (o *Observer) View() []freshener.Member {
+func (o *Observer) View() []arbiter.Member {
 	members := o.Members()
 	self := o.LocalHeartbeat()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := make([]freshener.Member, 0, len(members))
+	list := make([]arbiter.Member, 0, len(members))
 	for id, m := range members {
-		v := freshener.Member{ID: identifier.InstanceID(id), Gone: o.gone[id]}
+		v := arbiter.Member{ID: identifier.InstanceID(id), Gone: o.gone[id]}
 		if id == o.Self.Instance && m.Incarnation == o.Self.Incarnation {
 			v.Self, v.Voting, v.Next, v.SentAt = true, self.Voting, identifier.Offset(self.ConfigNext), time.Now()
 		}
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/freshener"
+	"github.com/coltsfootscale/coltsfootscale/internal/arbiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/messenger"
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
@@ -59,8 +59,8 @@
 	if now.Before(e.config.FreshAt().Add(bound)) {
 		return true
 	}
-	v := freshener.View{Joined: true, Next: e.config.Next(), FreshAt: e.config.FreshAt(), Members: e.observer.View()}
-	return now.Before(freshener.ServeUntil(now, bound, v))
+	v := arbiter.View{Joined: true, Next: e.config.Next(), FreshAt: e.config.FreshAt(), Members: e.observer.View()}
+	return now.Before(arbiter.ServeUntil(now, bound, v))
 }
 
 // runMembership joins the members and rejoins rejoinDelay after an eviction. Without the delay, an entry that the
