--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -27,11 +27,11 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/gossiper"
 	"github.com/coltsfootscale/coltsfootscale/internal/matcher"
 	"github.com/coltsfootscale/coltsfootscale/internal/mirrorer"
-	"github.com/coltsfootscale/coltsfootscale/internal/orderkeeper"
 	"github.com/coltsfootscale/coltsfootscale/internal/parser"
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
 	"github.com/coltsfootscale/coltsfootscale/internal/reporter"
 	"github.com/coltsfootscale/coltsfootscale/internal/retrier"
+	"github.com/coltsfootscale/coltsfootscale/internal/scaler"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -60,10 +60,10 @@
 	Members       MemberTopic
 	Duties        elector.Log
 	Backend       forwarder.Backend
-	Commander     orderkeeper.Commander
+	Commander     scaler.Commander
 	// Usage and Supply are nil on a platform without usage reports and scaling.
 	Usage  reporter.UsagePlatform
-	Supply orderkeeper.TargetPlatform
+	Supply scaler.TargetPlatform
 	// ConfigurationKey is the key of the configuration in its stream.
 	ConfigurationKey    string
 	DecodeConfiguration func(data []byte) (matcher.Configuration, error)
@@ -101,8 +101,8 @@
 	peers           *gossiper.Gossiper
 	client          *exchanger.Client
 	elector         *elector.Elector
-	stageController *orderkeeper.StageController
-	scaler          *orderkeeper.Scaler
+	stageController *scaler.StageController
+	targetScaler    *scaler.Scaler
 	windowReporter  *reporter.WindowReporter
 	forward         *forwarder.Forwarder
 
@@ -161,12 +161,12 @@
 		Holder: c.self.ID + "/" + c.self.Incarnation, Log: c.platform.Duties, Lease: bounds.Lease, Logger: c.logger,
 		Now: bootTime, Eligible: c.eligible,
 	}
-	c.scaler = &orderkeeper.Scaler{
+	c.targetScaler = &scaler.Scaler{
 		DutyLease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
-	c.stageController = &orderkeeper.StageController{
-		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.scaler.ScalingDown,
+	c.stageController = &scaler.StageController{
+		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.targetScaler.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windowReporter = &reporter.WindowReporter{
@@ -202,7 +202,7 @@
 		if o.Service != service || o.Stage != stage {
 			continue
 		}
-		if remaining := max(0, s.Engine.SwitchTime-(orderkeeper.SettleTime-o.Remaining)); !found || remaining < soonest {
+		if remaining := max(0, s.Engine.SwitchTime-(scaler.SettleTime-o.Remaining)); !found || remaining < soonest {
 			soonest, found = remaining, true
 		}
 	}
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -10,8 +10,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/elector"
 	"github.com/coltsfootscale/coltsfootscale/internal/gossiper"
 	"github.com/coltsfootscale/coltsfootscale/internal/mirrorer"
-	"github.com/coltsfootscale/coltsfootscale/internal/orderkeeper"
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
+	"github.com/coltsfootscale/coltsfootscale/internal/scaler"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -51,7 +51,7 @@
 		b.Streams = append(b.Streams, newStream(name, m, from, now))
 	}
 	for _, o := range c.registry.Orders(now) {
-		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (orderkeeper.SettleTime - o.Remaining).Milliseconds()})
+		b.Orders = append(b.Orders, &gossiper.Order{Target: string(o.Target), Stage: int32(o.Stage), AgeMilliseconds: (scaler.SettleTime - o.Remaining).Milliseconds()})
 	}
 	if s, ok := c.elector.Head(); ok {
 		b.Lease = &gossiper.Lease{Holder: s.Holder, Fence: uint64(s.Fence), Offset: uint64(s.Next), AgeMilliseconds: s.Age.Milliseconds()}
@@ -99,7 +99,7 @@
 // announceOrders registers this instance's pending orders and sends them to the peers.
 func (c *Coordinator) announceOrders() {
 	for _, p := range c.stageController.Pending() {
-		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(orderkeeper.SettleTime-p.Age))
+		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(scaler.SettleTime-p.Age))
 	}
 	c.peers.SendNow()
 }
@@ -146,7 +146,7 @@
 		c.counts.Merge(counter.Count{Incarnation: n.Incarnation, Window: n.Window, Team: identifier.TeamID(n.Team), Requests: n.Requests})
 	}
 	for _, o := range b.Orders {
-		remaining := orderkeeper.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
+		remaining := scaler.SettleTime - time.Duration(o.AgeMilliseconds)*time.Millisecond
 		c.registry.RecordOrder(identifier.TargetID(o.Target), registrar.Stage(o.Stage), now.Add(remaining))
 	}
 	if l := b.Lease; l != nil {
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -80,7 +80,7 @@
 	}
 	if c.platform.Usage != nil {
 		group.Go(func() { c.windowReporter.Run(duties) })
-		group.Go(func() { c.scaler.Run(duties) })
+		group.Go(func() { c.targetScaler.Run(duties) })
 	}
 }
 
--- a/internal/orderkeeper/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package orderkeeper orders stages and numbers of targets for the lease holder, each order under its fencing number.
-package orderkeeper
--- a/internal/orderkeeper/supplier.go
+++ b/internal/scaler/supplier.go
@@ -1,4 +1,4 @@
-package orderkeeper
+package scaler
 
 import (
 	"context"
--- a/internal/orderkeeper/supplier_test.go
+++ b/internal/scaler/supplier_test.go
@@ -1,4 +1,4 @@
-package orderkeeper_test
+package scaler_test
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"github.com/coltsfootscale/coltsfootscale/internal/matcher"
-	"github.com/coltsfootscale/coltsfootscale/internal/orderkeeper"
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
+	"github.com/coltsfootscale/coltsfootscale/internal/scaler"
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
@@ -49,7 +49,7 @@
 	})
 }
 
-func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o orderkeeper.ScaleOrder) error {
+func (f *fleet) OrderTargets(_ context.Context, _ identifier.Fence, o scaler.ScaleOrder) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var pool []*registrar.Target
@@ -83,7 +83,7 @@
 
 func (f *fleet) Accepted(context.Context, *registrar.Target) (uint64, error) { return 0, nil }
 
-func (f *fleet) Order(_ context.Context, t *registrar.Target, o orderkeeper.Order) error {
+func (f *fleet) Order(_ context.Context, t *registrar.Target, o scaler.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changed[t.ID] = time.Now()
@@ -146,14 +146,14 @@
 			}}})
 			load := func(identifier.ServiceID) float64 { return 0.1 }
 			getTable := func() *matcher.Table { return table }
-			scaler := &orderkeeper.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
-			controller := &orderkeeper.StageController{
-				Holder: "h", DutyLease: fakeLease{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: scaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
+			targetScaler := &scaler.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
+			controller := &scaler.StageController{
+				Holder: "h", DutyLease: fakeLease{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: targetScaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
 			group.Go(func() { controller.Run(ctx) })
-			group.Go(func() { scaler.Run(ctx) })
+			group.Go(func() { targetScaler.Run(ctx) })
 			for range 600 {
 				time.Sleep(100 * time.Millisecond)
 				quicktest.Assert(t, f.decoding() > 0, quicktest.IsTrue, quicktest.Commentf("%d zones: no engine in the decode stage", len(zones)))
