--- a/internal/holder/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package holder claims and renews a lease through the Control stream.
-package holder
--- a/internal/holder/holder.go
+++ b/internal/leaseholder/leaseholder.go
@@ -1,4 +1,4 @@
-package holder
+package leaseholder
 
 import (
 	"context"
--- a/internal/holder/holder_test.go
+++ b/internal/leaseholder/leaseholder_test.go
@@ -1,4 +1,4 @@
-package holder_test
+package leaseholder_test
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"github.com/coltsfootscale/coltsfootscale/internal/authorizer"
-	"github.com/coltsfootscale/coltsfootscale/internal/holder"
 	"github.com/coltsfootscale/coltsfootscale/internal/imitator"
+	"github.com/coltsfootscale/coltsfootscale/internal/leaseholder"
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 	"github.com/coltsfootscale/coltsfootscale/internal/provider"
 	"github.com/coltsfootscale/coltsfootscale/internal/tailer"
@@ -33,7 +33,7 @@
 		go srv.Serve(lis)
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
-		var holders []*holder.Holder
+		var holders []*leaseholder.Holder
 		var clients []*http.Client
 		for i := range 3 {
 			name := fmt.Sprint("host-", i)
@@ -41,7 +41,7 @@
 			clients = append(clients, client)
 			fold := &authorizer.Fold{}
 			control := &tailer.Tailer{Stream: "Control", Log: &provider.Provider{Base: "http://platform:1", HTTP: client}, Fold: fold}
-			h := &holder.Holder{Scope: "Fleet", ID: name, Control: control, Fold: fold, Lease: lease, DriftMargin: 500 * time.Millisecond, Logger: zap.NewNop()}
+			h := &leaseholder.Holder{Scope: "Fleet", ID: name, Control: control, Fold: fold, Lease: lease, DriftMargin: 500 * time.Millisecond, Logger: zap.NewNop()}
 			if i > 0 {
 				h.Lease = contenderLease
 			}
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -26,8 +26,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/configurator"
 	"github.com/coltsfootscale/coltsfootscale/internal/exchanger"
 	"github.com/coltsfootscale/coltsfootscale/internal/exporter"
-	"github.com/coltsfootscale/coltsfootscale/internal/holder"
 	"github.com/coltsfootscale/coltsfootscale/internal/journaler"
+	"github.com/coltsfootscale/coltsfootscale/internal/leaseholder"
 	"github.com/coltsfootscale/coltsfootscale/internal/limiter"
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 	"github.com/coltsfootscale/coltsfootscale/internal/observer"
@@ -95,7 +95,7 @@
 	meter           limiter.Meter
 	shares          shares
 	committer       *committer.Committer
-	holder          *holder.Holder
+	leaseholder     *leaseholder.Holder
 	orderer         *orderer.Orderer
 	reporter        *reporter.Reporter
 	relayer         *relayer.Relayer
@@ -196,16 +196,16 @@
 
 func (e *Entry) wireDuties() {
 	t := e.settings.Timing
-	e.holder = &holder.Holder{
+	e.leaseholder = &leaseholder.Holder{
 		Scope: scopeFleet, ID: e.origin(), Control: e.control, Fold: &e.controlFold,
 		Lease: t.Lease, DriftMargin: t.DriftMargin, Logger: e.logger,
 	}
 	e.orderer = &orderer.Orderer{
-		Scope: scopeFleet, Sender: e.origin(), Authority: e.holder, Control: e.control, Fold: &e.controlFold,
+		Scope: scopeFleet, Sender: e.origin(), Authority: e.leaseholder, Control: e.control, Fold: &e.controlFold,
 		Platform: e.platform, HTTP: e.http, Timeout: t.OrderTimeout, DrainNotice: drainNotice, Address: e.targetAddress, Logger: e.logger,
 	}
 	e.reporter = &reporter.Reporter{
-		Sender: e.origin(), Authority: e.holder, Usage: e.usage, Fold: &e.usageFold,
+		Sender: e.origin(), Authority: e.leaseholder, Usage: e.usage, Fold: &e.usageFold,
 		Platform: e.platform, Timeout: t.OrderTimeout, Logger: e.logger,
 	}
 }
@@ -257,7 +257,7 @@
 		group.Go(func() { loop(background) })
 	}
 	for _, loop := range []func(context.Context){
-		e.holder.Run, e.runOrders, e.runReports, e.runCheckpoints, e.runEvictions,
+		e.leaseholder.Run, e.runOrders, e.runReports, e.runCheckpoints, e.runEvictions,
 	} {
 		group.Go(func() { loop(dutyContext) })
 	}
--- a/internal/runner/duties.go
+++ b/internal/runner/duties.go
@@ -17,7 +17,7 @@
 func (e *Entry) runOrders(ctx context.Context) {
 	var raised identifier.Fence
 	every(ctx, dutyInterval, func(ctx context.Context) {
-		fence, _, err := e.holder.Authority()
+		fence, _, err := e.leaseholder.Authority()
 		if err != nil {
 			return
 		}
@@ -48,7 +48,7 @@
 func (e *Entry) runReports(ctx context.Context) {
 	var closedAt time.Time
 	every(ctx, dutyInterval, func(ctx context.Context) {
-		fence, _, err := e.holder.Authority()
+		fence, _, err := e.leaseholder.Authority()
 		if err != nil {
 			return
 		}
@@ -73,7 +73,7 @@
 	checkpointed := make([]identifier.Offset, len(streams))
 	var lastRun time.Time
 	every(ctx, dutyInterval, func(ctx context.Context) {
-		if _, _, err := e.holder.Authority(); err != nil {
+		if _, _, err := e.leaseholder.Authority(); err != nil {
 			return
 		}
 		due := time.Since(lastRun) >= checkpointInterval
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -129,7 +129,7 @@
 	every(ctx, evictionInterval, func(ctx context.Context) {
 		members := e.view.Load().State.GetMembers()
 		e.updateLastSeen(members, lastSeen)
-		if _, _, err := e.holder.Authority(); err != nil || !e.reachesMajority() {
+		if _, _, err := e.leaseholder.Authority(); err != nil || !e.reachesMajority() {
 			return
 		}
 		for id, m := range members {
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -72,7 +72,7 @@
 	every(ctx, metricsInterval, func(context.Context) {
 		e.metrics.Gauge("ConfigOffset").Update(float64(e.config.Next()))
 		e.metrics.Gauge("Serving").Update(indicator(e.serving()))
-		_, _, err := e.holder.Authority()
+		_, _, err := e.leaseholder.Authority()
 		e.metrics.Gauge("LeaseHeld").Update(indicator(err == nil))
 		appends, records := e.committer.Counts()
 		e.metrics.Gauge("JournalAppends").Update(float64(appends))
