--- a/internal/forwarder/backend.go
+++ b/internal/forwarder/backend.go
@@ -23,17 +23,19 @@
 	ErrOutcomeUnknown = errors.New("target may have run the request")
 )
 
-// Call is a client's request; Header contains only the headers that may be forwarded to a target.
+// Call is a client's request.
 type Call struct {
-	ID       identifier.RequestID
-	Method   string
-	URI      string
-	Host     string
-	Path     string
-	Key      string
+	ID     identifier.RequestID
+	Method string
+	URI    string
+	Host   string
+	Path   string
+	Key    string
+	// Deadline is the longest time that the client waits for the answer; zero means that it set no limit.
 	Deadline time.Duration
-	Header   http.Header
-	Body     Body
+	// Header contains only the headers that may be forwarded to a target.
+	Header http.Header
+	Body   Body
 	// LastEvent is the id of the last event that the client received, or empty.
 	LastEvent string
 	// Parts are the parts of the prompt; AnswerTokens is the maximum number of tokens to generate.
@@ -55,7 +57,7 @@
 	Remaining time.Duration
 	// EffectivePriority orders the requests in the target's queue; 0 is the highest.
 	EffectivePriority int
-	// Source is the prompt's KV cache, or nil without prefill.
+	// Source is the handle of the prompt's KV cache, or nil if no other target prefilled the prompt.
 	Source *KVHandle
 	// LastEvent is the id of the event after which the stream resumes, or empty.
 	LastEvent string
--- a/internal/forwarder/body.go
+++ b/internal/forwarder/body.go
@@ -10,13 +10,13 @@
 var ErrBodyMemory = errors.New("memory limit of request body buffers reached")
 
 const (
-	// bufferedBodyBytes is the most that is buffered of one body for retries and for a second target; it holds the prompts
-	// in the users' specifications, which have 17,000 tokens of a few bytes each.
+	// bufferedBodyBytes is the most that is buffered of one body for retries and for a second target. It is large enough
+	// for the prompts in the users' specifications, which have 17,000 tokens of a few bytes each.
 	bufferedBodyBytes = 512 << 10
 	// defaultMaximumBytes is the default of BodyBuffers.MaximumBytes.
 	defaultMaximumBytes = 32 << 20
-	// bufferedResponseBytes is the most that is buffered of a plain target's response, so that a broken one can be retried
-	// before the client has received any of it.
+	// bufferedResponseBytes is the most that is buffered of a plain response or an error response, so that a broken one
+	// can be retried before the client has received any of it.
 	bufferedResponseBytes = 256 << 10
 )
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -27,20 +27,20 @@
 // Each path ends with a target's response, or with a refusal that says whether the request may have run.
 
 const (
-	// repeatableFreshness is the maximum idle time of a reused connection for requests that may be repeated.
-	repeatableFreshness = 10 * time.Second
-	// unrepeatableFreshness is the same for requests that run at most once: a target is unlikely to have closed a
+	// repeatableMaximumIdle is the maximum idle time of a reused connection for requests that may be repeated.
+	repeatableMaximumIdle = 10 * time.Second
+	// unrepeatableMaximumIdle is the same for requests that run at most once: a target is unlikely to have closed a
 	// connection that was in use this recently.
-	unrepeatableFreshness = 300 * time.Millisecond
-	// minimumRetryAfter is the shortest time after which a refused client is asked to retry.
-	minimumRetryAfter = 150 * time.Millisecond
+	unrepeatableMaximumIdle = 300 * time.Millisecond
+	// defaultRetryAfter is the retry delay of a refused client, unless a target is expected at a known time.
+	defaultRetryAfter = 150 * time.Millisecond
 	// retryAfterJitter spreads the retries of clients that wait for the same target.
 	retryAfterJitter = 300 * time.Millisecond
 	// staleConfigurationAge is the configuration age beyond which an unknown route or key may be a new one.
 	staleConfigurationAge = 1500 * time.Millisecond
 	// plainServiceTime is the usual duration of a call to a plain target.
 	plainServiceTime = 20 * time.Millisecond
-	// minimumConnections is the number of connections to a target that each instance may open, whatever its share.
+	// minimumConnections is the number of connections to a target that each instance may open, however small its share.
 	minimumConnections = 4
 	// minimumRemaining is the least time before the deadline at which a retry is still worthwhile.
 	minimumRemaining = 5 * time.Millisecond
@@ -66,11 +66,11 @@
 	Instances func() int
 	// Expected returns the time until a target that is changing to a stage is expected there, or false if there is none.
 	Expected func(service identifier.ServiceID, stage registrar.Stage, now time.Time) (time.Duration, bool)
-	// MaximumJitter returns by how much the predictions of two instances may differ.
+	// MaximumJitter returns the maximum of the jitter: by how much the predictions of two instances may differ.
 	MaximumJitter func() time.Duration
 	// RecordDemand records the prompt tokens that a request needs prefilled.
 	RecordDemand func(service identifier.ServiceID, tokens identifier.Tokens, now time.Time)
-	// CountRequest counts a request that a target has started to run.
+	// CountRequest counts a request that a target has started to run, or may have.
 	CountRequest func(team identifier.TeamID)
 	Logger       *zap.Logger
 	Metrics      tally.Scope
@@ -93,7 +93,8 @@
 	// prefillFailed is set after a failed prefill.
 	prefillFailed bool
 	failedTargets []identifier.TargetID
-	started       bool
+	// started is set once a target has started to run the request, or may have.
+	started bool
 	// headerSent is set once the response header has been sent to the client.
 	headerSent bool
 	trace      trace
@@ -135,7 +136,7 @@
 		j.logServed()
 		return
 	}
-	// The client has left. Its connection is closed, so that a partial response can't look complete.
+	// The client has left. Its connection is closed so that a partial response can't look complete.
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		j.logRefusal("client left", refusal)
 		panic(http.ErrAbortHandler)
@@ -175,7 +176,7 @@
 func (j *job) admit() *Refusal {
 	table := j.f.Table()
 	if table == nil {
-		return refuseNotRun("NoConfiguration", minimumRetryAfter, nil)
+		return refuseNotRun("NoConfiguration", defaultRetryAfter, nil)
 	}
 	j.route = table.Route(j.call.Host, j.call.Path)
 	if j.route == nil {
@@ -199,7 +200,7 @@
 // one may have it, and the client is asked to retry.
 func (j *job) refuseUnknown(status int, reason string) *Refusal {
 	if j.f.TableAge() > staleConfigurationAge {
-		return refuseNotRun(reason+"Yet", minimumRetryAfter, nil)
+		return refuseNotRun(reason+"Yet", defaultRetryAfter, nil)
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
@@ -213,13 +214,13 @@
 
 // attempt describes an attempt on a target; a stream resumes after lastEvent.
 func (j *job) attempt(t *registrar.Target, source *KVHandle, lastEvent string) *Attempt {
-	freshness := unrepeatableFreshness
+	maximumIdle := unrepeatableMaximumIdle
 	if j.route.Repeatable() {
-		freshness = repeatableFreshness
+		maximumIdle = repeatableMaximumIdle
 	}
 	return &Attempt{
 		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), EffectivePriority: matcher.EffectivePriority(j.route, j.team),
-		Source: source, LastEvent: lastEvent, MaximumIdle: freshness, Connections: j.connectionShare(),
+		Source: source, LastEvent: lastEvent, MaximumIdle: maximumIdle, Connections: j.connectionShare(),
 	}
 }
 
@@ -241,7 +242,7 @@
 	return j.f.TargetStates.Candidates(targets, parts, time.Now())
 }
 
-// chooseAnswerTarget chooses among the targets of the decode stage and those without a stage.
+// chooseAnswerTarget chooses the answer target among the targets of the decode stage and those without a stage.
 func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
 	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
 	if j.route.HasPrompts {
@@ -256,7 +257,7 @@
 		time.Until(j.deadline) > minimumRemaining && j.f.Budget.TakeRetry(j.service)
 }
 
-// markStarted counts the request as started; only the first call has an effect.
+// markStarted counts the request as started and records the time; only the first call has an effect.
 func (j *job) markStarted() {
 	if !j.started {
 		j.started = true
@@ -266,7 +267,7 @@
 	}
 }
 
-// Refusal is a final answer that this instance gives itself.
+// Refusal is a final answer that comes from this instance, not from a target.
 type Refusal struct {
 	Status int
 	Reason string
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -95,7 +95,7 @@
 }
 
 // serve handles one call with a forwarder that has two prompt targets and two answer targets, or two plain targets if
-// the route is not prompted.
+// the route has no prompts.
 func serve(b *backend, route matcher.Route, call *forwarder.Call, retries int) (res result) {
 	route.Host, route.Prefix, route.Timeout = "h", "/p/", 5*time.Second
 	if route.Attempts == 0 {
@@ -232,7 +232,7 @@
 }
 
 // TestRetryAfterWhenATargetIsExpected covers the time after the loss of all answer targets, while others change their
-// stage: clients must be told to retry when the first one is expected to be ready.
+// stage: clients must be asked to retry when the first one is expected to be ready.
 func TestRetryAfterWhenATargetIsExpected(t *testing.T) {
 	res := serve(&backend{}, matcher.Route{ID: "changing", Kind: matcher.Stream, HasPrompts: true}, &forwarder.Call{Parts: []chooser.Part{{ID: 1, Tokens: 10}}}, 0)
 	quicktest.Assert(t, res.Code, quicktest.Equals, http.StatusServiceUnavailable)
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -42,7 +42,7 @@
 		case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		case errors.Is(err, ErrNotRun):
 			if !j.takeRetry() {
-				return refuseNotRun("TargetsFull", minimumRetryAfter, err)
+				return refuseNotRun("TargetsFull", defaultRetryAfter, err)
 			}
 		case j.route.Kind != matcher.Safe || ctx.Err() != nil || !j.takeRetry():
 			return refuseOutcomeUnknown(ctx, "TargetFailed", err)
@@ -62,13 +62,13 @@
 		zap.Int("Status", status), zap.Int("Sends", j.attempts), zap.Duration("After", time.Since(j.start)), zap.Error(err))
 }
 
-// refuseNoTarget refuses a request for which no target is left. If it was started, the refusal doesn't imply that it has
-// not run.
+// refuseNoTarget refuses a request for which no target is left. A request that may have run gets status 502, because 503
+// would imply that it has not run.
 func (j *job) refuseNoTarget() *Refusal {
 	if j.started {
 		return &Refusal{Status: http.StatusBadGateway, Reason: "TargetFailed"}
 	}
-	retryAfter := minimumRetryAfter
+	retryAfter := defaultRetryAfter
 	if wait, expected := j.f.Expected(j.service, registrar.Answers, time.Now()); expected {
 		retryAfter = wait + rand.N(retryAfterJitter)
 	}
@@ -107,7 +107,7 @@
 	buffered, err := io.ReadAll(io.LimitReader(response.Body, bufferedResponseBytes))
 	if err != nil {
 		response.Body.Close()
-		return nil, nil, fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
+		return nil, nil, fmt.Errorf("%w: reading the response body: %w", ErrOutcomeUnknown, err)
 	}
 	return response, buffered, nil
 }
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -12,7 +12,6 @@
 )
 
 const (
-	// maximumEventBytes is the maximum size of one event.
 	maximumEventBytes = 1 << 20
 	// eventBufferBytes is the size of a stream's read buffer.
 	eventBufferBytes = 4 << 10
@@ -45,7 +44,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("%w: event after %d: %w", ErrOutcomeUnknown, s.lastID, err)
+			return fmt.Errorf("%w: reading the event after %d: %w", ErrOutcomeUnknown, s.lastID, err)
 		}
 		s.job.markStarted()
 		if err := s.advance(event); err != nil {
@@ -53,22 +52,23 @@
 		}
 		s.job.writeHeader(response)
 		if _, err := s.job.w.Write(event); err != nil {
-			return fmt.Errorf("%w: client: %w", ErrOutcomeUnknown, err)
+			return fmt.Errorf("%w: writing to the client: %w", ErrOutcomeUnknown, err)
 		}
 		if err := flusher.Flush(); err != nil {
-			return fmt.Errorf("%w: client: %w", ErrOutcomeUnknown, err)
+			return fmt.Errorf("%w: writing to the client: %w", ErrOutcomeUnknown, err)
 		}
 	}
 }
 
-// advance moves the stream's position to an event; it fails if the event does not follow the last one.
+// advance moves the stream's position to an event; it fails if the event's id is not higher than the last one. An event
+// without a numeric id leaves the position unchanged.
 func (s *stream) advance(event []byte) error {
 	id, ok := eventID(event)
 	if !ok {
 		return nil
 	}
 	if id <= s.lastID {
-		return fmt.Errorf("%w: event %d after %d", ErrOutcomeUnknown, id, s.lastID)
+		return fmt.Errorf("%w: received event %d after event %d", ErrOutcomeUnknown, id, s.lastID)
 	}
 	s.lastID, s.lastEvent = id, strconv.Itoa(id)
 	return nil
@@ -93,7 +93,7 @@
 	}
 }
 
-// eventID returns the id of an event, or false without a numeric id.
+// eventID returns the numeric id of an event, or false if it has none.
 func eventID(event []byte) (int, bool) {
 	for _, line := range strings.Split(string(event), "\n") {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -19,7 +19,7 @@
 // maximumPrefills is the maximum number of targets tried for one prompt.
 const maximumPrefills = 3
 
-// freeTimeout bounds the release of a handle; a handle that is not released expires by itself.
+// freeTimeout bounds the release of a KV cache handle; a handle that is not released expires by itself.
 const freeTimeout = time.Second
 
 // serveStream prefills the prompt, if there is one, on one target and generates the answer on another.
@@ -49,7 +49,7 @@
 			if j.started {
 				return refuseOutcomeUnknown(ctx, "StreamBroken", err)
 			}
-			return refuseNotRun("AnswerTargetFull", minimumRetryAfter, err)
+			return refuseNotRun("AnswerTargetFull", defaultRetryAfter, err)
 		case errors.Is(err, ErrNotRun):
 		case !j.route.Resumable || !j.takeRetry():
 			return refuseOutcomeUnknown(ctx, "StreamBroken", err)
@@ -57,8 +57,7 @@
 	}
 }
 
-// prepare chooses the answer target and prefills the prompt for it if the service has targets of the prefill
-// stage.
+// prepare chooses the answer target and prefills the prompt for it if the service has prompt targets.
 func (j *job) prepare(ctx context.Context) (*registrar.Target, *KVHandle, *Refusal) {
 	for {
 		if handle := j.unusedCache; handle != nil {
@@ -75,7 +74,7 @@
 		promptTargets := j.candidates(j.call.Parts, registrar.Prompts)
 		promptChoice, ok := j.f.Chooser.Prompt(&chooser.Prompt{Zone: j.f.Zone, Parts: j.call.Parts, Jitter: j.jitter()}, promptTargets)
 		if !ok && j.prefillFailed && j.call.Body.Whole() {
-			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", minimumRetryAfter, nil))
+			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", defaultRetryAfter, nil))
 		}
 		if !ok || !j.call.Body.Whole() {
 			// No target prefills separately, or the body can be sent only once, so the answer target does both.
@@ -86,7 +85,7 @@
 		}
 		// The first prefill of a request doesn't count against the retry budget.
 		if j.prefills > 0 && !j.f.Budget.TakeRetry(j.service) {
-			return nil, nil, j.adjustRefusal(refuseNotRun("RetryBudgetSpent", minimumRetryAfter, nil))
+			return nil, nil, j.adjustRefusal(refuseNotRun("RetryBudgetSpent", defaultRetryAfter, nil))
 		}
 		j.prefills++
 		handle, err := j.prefill(ctx, promptChoice)
@@ -104,7 +103,7 @@
 		case errors.Is(err, ErrNotSent):
 			j.prefills--
 		case j.prefills >= maximumPrefills:
-			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", minimumRetryAfter, err))
+			return nil, nil, j.adjustRefusal(refuseNotRun("PromptTargetsFailed", defaultRetryAfter, err))
 		}
 	}
 }
@@ -124,7 +123,7 @@
 	return chooser.Jitter{Seed: rand.Uint64(), MaximumJitter: j.f.MaximumJitter()}
 }
 
-// adjustRefusal replaces a refusal that implies that the request has not run, in case a target may have run it.
+// adjustRefusal replaces a refusal that implies that the request has not run if a target may have run it.
 func (j *job) adjustRefusal(r *Refusal) *Refusal {
 	if j.started {
 		return &Refusal{Status: http.StatusBadGateway, Reason: r.Reason, Err: r.Err}
@@ -149,7 +148,7 @@
 	return handle, nil
 }
 
-// free releases a handle in the background.
+// free releases a handle in the background, so that the request doesn't wait for it.
 func (j *job) free(handle *KVHandle) {
 	if handle == nil {
 		return
@@ -201,16 +200,16 @@
 func (j *job) relayErrorResponse(response *Response, s *stream) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, bufferedResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%w: body: %w", ErrOutcomeUnknown, err)
+		return fmt.Errorf("%w: reading the response body: %w", ErrOutcomeUnknown, err)
 	}
 	if j.headerSent || j.route.Resumable && j.attempts < j.route.Attempts {
-		return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, response.Status)
+		return fmt.Errorf("%w: error response with status %d", ErrOutcomeUnknown, response.Status)
 	}
 	j.writeBuffered(response, body)
 	return nil
 }
 
-// writeHeader sends the header of the first target's response.
+// writeHeader sends the header of the first target's response; later targets continue the same response.
 func (j *job) writeHeader(response *Response) {
 	if j.headerSent {
 		return
