--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -10,10 +10,10 @@
 )
 
 // A prompt goes to the target with the lowest predicted time until it is prefilled. The prediction covers the prompt
-// tokens queued at the target and the tokens of this prompt that it has not cached; a target in another availability
-// zone costs extra. Parts that no target has cached are drawn weakly to one target, their owner by rendezvous hashing,
-// so that instances agree even before they have received each other's gossip messages. An answer goes to the target
-// with the fewest answers in its batch.
+// tokens queued at the target and the tokens of this prompt that it has not cached. A target in another availability
+// zone costs extra, and so does prefilling shared parts on a target that is not their owner by rendezvous hashing: this
+// way instances agree even before they have received each other's gossip messages. An answer goes to the target with
+// the fewest answers in its batch.
 
 const (
 	// prefillTokensPerSecond is the prefill rate of one engine, from the users' engine specifications.
@@ -23,13 +23,13 @@
 	// crossZoneCost expresses the price of traffic between availability zones as time.
 	crossZoneCost = 40 * time.Millisecond
 	// nonOwnerFraction is the cost of prefilling shared parts on a target that is not their owner, and duplicateFraction
-	// that of prefilling parts that another target has cached, both as a fraction of the prefill time: the copies take
-	// up memory twice and evict other parts.
+	// that of prefilling parts that another target has cached, both as a fraction of the prefill time: a part that two
+	// targets cache takes up memory twice and evicts other parts.
 	nonOwnerFraction  = 1.3
 	duplicateFraction = 0.5
 	// answerCost is how much one more answer slows down the rest of the batch.
 	answerCost = 8 * time.Millisecond
-	// coldCost is the cost of a target that has just started; it declines as the target warms up.
+	// coldCost is the cost of a target that has just started; it declines to zero in the last second of the warm-up.
 	coldCost = 150 * time.Millisecond
 	// failureCost is the cost of each point of the failure score.
 	failureCost = 250 * time.Millisecond
@@ -41,17 +41,20 @@
 	Tokens identifier.Tokens
 }
 
-// Load is the work in flight at a target, over all instances.
+// Load is work in flight at a target.
 type Load struct {
+	// PromptTokens is the number of tokens to prefill.
 	PromptTokens identifier.Tokens
 	Answers      int
+	// AnswerTokens is the number of prompt tokens and maximum output tokens of the answers.
 	AnswerTokens identifier.Tokens
 }
 
 // Candidate describes a target for a choice.
 type Candidate struct {
 	Target *registrar.Target
-	Load   Load
+	// Load is the load over all instances, as far as peers have reported theirs.
+	Load Load
 	// Cached is the number of leading prompt tokens in the target's KV cache.
 	Cached identifier.Tokens
 	// FailureScore counts failures; it decays with failureHalfLife.
@@ -160,16 +163,16 @@
 }
 
 // PlainTarget returns the target of a plain service with the shortest queue for its slots, or false without candidates.
-func PlainTarget(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Choice, bool) {
+func PlainTarget(zone identifier.ZoneID, serviceTime time.Duration, candidates []Candidate) (Choice, bool) {
 	var best Choice
 	var bestCost time.Duration
 	for i := range candidates {
 		c := &candidates[i]
 		slots := max(1, c.Target.Slots)
-		wait := work * time.Duration(c.Load.Answers) / time.Duration(slots)
+		wait := serviceTime * time.Duration(c.Load.Answers) / time.Duration(slots)
 		cost := wait + penalty(c, zone)/8
 		if best.Target == nil || cost < bestCost {
-			best, bestCost = Choice{Target: c.Target, Predicted: wait + work}, cost
+			best, bestCost = Choice{Target: c.Target, Predicted: wait + serviceTime}, cost
 		}
 	}
 	return best, best.Target != nil
@@ -192,7 +195,7 @@
 }
 
 // ownerOf returns the index of the candidate that owns the prompt by rendezvous hashing, or -1 without shared parts.
-// All shared parts are hashed: most requests may share the first ones, which would send them to a few targets.
+// All shared parts are hashed: the first ones alone may be common to most requests, which would then go to few targets.
 func ownerOf(p *Prompt, candidates []Candidate) int {
 	if len(p.Parts) < 2 {
 		return -1
--- a/internal/chooser/policy.go
+++ b/internal/chooser/policy.go
@@ -50,9 +50,9 @@
 }
 
 // Plain returns the target of a plain service, or false without candidates.
-func (c *Chooser) Plain(zone identifier.ZoneID, work time.Duration, candidates []Candidate) (Choice, bool) {
+func (c *Chooser) Plain(zone identifier.ZoneID, serviceTime time.Duration, candidates []Candidate) (Choice, bool) {
 	if c.predicts() {
-		return PlainTarget(zone, work, candidates)
+		return PlainTarget(zone, serviceTime, candidates)
 	}
 	return c.baseline(candidates, func(l Load) int { return l.Answers })
 }
--- a/internal/chooser/states.go
+++ b/internal/chooser/states.go
@@ -48,7 +48,7 @@
 	own   Load
 	peers Load
 	parts map[identifier.PartID]*partState
-	// tokens is the size of all parts.
+	// tokens is the total size of all parts.
 	tokens     identifier.Tokens
 	failures   float64
 	failuresAt time.Time
@@ -75,6 +75,7 @@
 	list := make([]Candidate, 0, len(targets))
 	for _, t := range targets {
 		s := ts.targetState(t.ID, now)
+		// A restarted target has an empty cache.
 		if !t.StartedAt.Equal(s.startedAt) {
 			s.parts, s.tokens, s.startedAt = nil, 0, t.StartedAt
 		}
@@ -98,7 +99,7 @@
 	ts.targetState(id, now).own.add(work, sign)
 }
 
-// Prefilled records that a target now caches the parts of a prompt and queues them for the peers.
+// Prefilled records that a target now caches the parts of a prompt, and queues the parts to be reported to peers.
 func (ts *TargetStates) Prefilled(id identifier.TargetID, parts []Part, now time.Time) {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// record adds a part to a target's state and queues it for the peers unless it was reported recently.
+// record adds a part to a target's state and queues it to be reported to peers, unless it was reported recently.
 func (ts *TargetStates) record(s *targetState, part CachedPart, now time.Time) {
 	if !s.addPart(part.Part, now) {
 		return
@@ -236,7 +237,7 @@
 	l.AnswerTokens += identifier.Tokens(sign) * other.AnswerTokens
 }
 
-// cached returns the number of leading prompt tokens that the target holds, up to the first part it lacks.
+// cached returns the number of leading prompt tokens in the target's cache, up to the first part that it lacks.
 func (s *targetState) cached(parts []Part) identifier.Tokens {
 	total := identifier.Tokens(0)
 	for _, part := range parts {
