--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -1,2 +1,3 @@
-// Package placer plans the roles of engines and the number of targets in each availability zone; it does no I/O.
+// Package placer plans the roles and stages of engines and the number of targets in each availability zone. It does no
+// I/O.
 package placer
--- a/internal/placer/fleet.go
+++ b/internal/placer/fleet.go
@@ -17,7 +17,8 @@
 // engine for most of the promised latency.
 const headroom = 3.0
 
-// cheapHeadroom is the headroom with cheap targets, which cost little enough to serve bursts without queueing.
+// cheapHeadroom is the headroom with cheap targets: they cost so little that the plan has enough of them to serve
+// bursts without queueing.
 const cheapHeadroom = 6
 
 // ZoneFleet is the current number of targets in one availability zone.
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -21,7 +21,7 @@
 // TestFleet checks the plan at changing prompt load, on a fleet whose cheap targets may be reclaimed zone by zone.
 func TestFleet(t *testing.T) {
 	for name, tc := range map[string]struct {
-		s       placer.FleetInput
+		in      placer.FleetInput
 		regular int
 		cheap   int
 	}{
@@ -34,10 +34,10 @@
 		"the minimum is kept":                        {placer.FleetInput{Zones: zones(3, 3, "a", "b", "c", "d"), Minimum: 2, Maximum: 6, CheapPriceFraction: 0.2, Load: 0.1}, 2, 1},
 		"no cheap targets available":                 {placer.FleetInput{Zones: zones(4, 0, "a", "b"), Minimum: 1, Maximum: 8, Load: 4}, 6, 0},
 	} {
-		for _, w := range placer.PlanFleet(tc.s) {
-			quicktest.Check(t, w.Regular, quicktest.Equals, tc.regular, quicktest.Commentf("%s: regular", name))
-			quicktest.Check(t, w.Cheap, quicktest.Equals, tc.cheap, quicktest.Commentf("%s: cheap", name))
-			quicktest.Check(t, w.Regular+w.Cheap <= tc.s.Maximum, quicktest.IsTrue, quicktest.Commentf("%s: more than the maximum", name))
+		for _, plan := range placer.PlanFleet(tc.in) {
+			quicktest.Check(t, plan.Regular, quicktest.Equals, tc.regular, quicktest.Commentf("%s: regular", name))
+			quicktest.Check(t, plan.Cheap, quicktest.Equals, tc.cheap, quicktest.Commentf("%s: cheap", name))
+			quicktest.Check(t, plan.Regular+plan.Cheap <= tc.in.Maximum, quicktest.IsTrue, quicktest.Commentf("%s: more than the maximum", name))
 		}
 	}
 }
@@ -62,13 +62,13 @@
 	quicktest.Assert(t, wanted, quicktest.Equals, 2)
 	changes := placer.PlanStages(list, wanted)
 	quicktest.Assert(t, changes, quicktest.HasLen, 5)
-	left := map[identifier.ZoneID]int{}
+	decoding := map[identifier.ZoneID]int{}
 	for _, e := range list {
 		if e.Stage == registrar.Answers {
-			left[e.Zone]++
+			decoding[e.Zone]++
 		}
 	}
-	for zone, n := range left {
+	for zone, n := range decoding {
 		quicktest.Check(t, n, quicktest.Equals, 1, quicktest.Commentf("zone %s", zone))
 	}
 	quicktest.Assert(t, placer.PlanStages(list, wanted), quicktest.HasLen, 0, quicktest.Commentf("a balanced fleet is not changed"))
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -27,7 +27,7 @@
 func TestRoles(t *testing.T) {
 	demand := func(prompt, output float64) placer.Demand { return placer.Demand{Prompt: prompt, Output: output} }
 	for name, tc := range map[string]struct {
-		s       placer.RoleInput
+		in      placer.RoleInput
 		changes int
 		role    recorder.Role
 	}{
@@ -42,10 +42,10 @@
 		"engines that take no orders keep roles": {placer.RoleInput{Engines: notOrderable(engines(12, 0)), Short: demand(660, 200), Long: demand(660, 200)}, 0, 0},
 		"a single engine stays mixed":            {placer.RoleInput{Engines: engines(1, 0), Short: demand(90, 10), Long: demand(90, 10)}, 0, 0},
 	} {
-		if tc.s.SinceChange == 0 {
-			tc.s.SinceChange = time.Minute
+		if tc.in.SinceChange == 0 {
+			tc.in.SinceChange = time.Minute
 		}
-		got := placer.PlanRoles(tc.s)
+		got := placer.PlanRoles(tc.in)
 		quicktest.Check(t, got, quicktest.HasLen, tc.changes, quicktest.Commentf(name))
 		for _, c := range got {
 			quicktest.Check(t, c.Role, quicktest.Equals, tc.role, quicktest.Commentf(name))
@@ -76,7 +76,7 @@
 func TestTargets(t *testing.T) {
 	zones := []identifier.ZoneID{"a", "b", "c"}
 	for name, tc := range map[string]struct {
-		s    placer.TargetInput
+		in   placer.TargetInput
 		want []placer.TargetChange
 	}{
 		"enough after any zone is lost": {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c"), NeededEngines: 1.4, Maximum: 9, SurvivingShare: 1}, nil},
@@ -86,6 +86,6 @@
 		"no zone to order in":           {placer.TargetInput{Targets: targetStates("a", "b"), NeededEngines: 5, Maximum: 9, SurvivingShare: 1}, nil},
 		"withdraws an unneeded target":  {placer.TargetInput{Zones: zones, Targets: targetStates("a", "b", "c", "b", "a"), NeededEngines: 0.1, Maximum: 9, SurvivingShare: 1}, []placer.TargetChange{{Withdraw: "1"}}},
 	} {
-		quicktest.Check(t, placer.PlanTargets(tc.s), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
+		quicktest.Check(t, placer.PlanTargets(tc.in), quicktest.DeepEquals, tc.want, quicktest.Commentf(name))
 	}
 }
--- a/internal/placer/roles.go
+++ b/internal/placer/roles.go
@@ -16,10 +16,10 @@
 // Demand is measured in engines: uncached prompt tokens per second divided by an engine's prefill rate, and output
 // tokens per second divided by its decode rate. A mixed engine runs prefill in chunks between decode steps, so it can
 // spend only a fraction of its time on prefill if tokens are to be on time. While the prefill demand fits into that
-// fraction of all engines, no role changes, because a change takes seconds. Beyond that, enough engines become prefill
-// engines for the remaining prefill to fit. If decode fills the batches so far that any prefill beside it makes tokens
-// late, prefill engines take all prompts. The number of prefill engines changes only when it is off by more than one
-// engine in both the short and the long window.
+// fraction of all engines, none becomes a prefill engine, because a change takes seconds. Beyond that, enough engines
+// become prefill engines for the remaining prefill to fit. If decode fills the batches so far that any prefill beside
+// it makes tokens late, prefill engines take all prompts. The number of prefill engines changes only when it is off by
+// more than one engine in both the short and the long window.
 
 const (
 	// mixedPrefillShare is the largest share of a mixed engine's time for prefill.
@@ -39,8 +39,10 @@
 	decodeMergeShare = 0.50
 	// toleranceEngines is how far the number of prefill engines may be off before roles change.
 	toleranceEngines = 1.6
-	settleTime       = 3 * time.Second
-	maximumChanges   = 4
+	// settleTime is the minimum time between a role change and the next plan.
+	settleTime = 3 * time.Second
+	// maximumChanges is the maximum number of role changes in one plan.
+	maximumChanges = 4
 )
 
 // Engine is the input of PlanRoles for one engine.
@@ -147,7 +149,8 @@
 	return max(0, min(max(1, wanted), limit, n-1))
 }
 
-// decodeThreshold is the decode share of the fleet above which mixed engines have no time left for prefill.
+// decodeThreshold returns the decode share of the fleet above which mixed engines have no time left for prefill, given
+// the current number of prefill engines.
 func decodeThreshold(current int) float64 {
 	if current > 0 {
 		return decodeMergeShare
@@ -155,15 +158,16 @@
 	return decodeSplitShare
 }
 
-// changes orders more prefill engines, or fewer where more is negative, in the zones with the fewest first.
-func changes(engines []Engine, more int) []RoleChange {
+// changes returns up to maximumChanges role changes towards the given number of additional prefill engines, or of fewer
+// ones if it is negative. Zones with the fewest engines of the new role come first.
+func changes(engines []Engine, additional int) []RoleChange {
 	from, to := recorder.Role_Mixed, recorder.Role_Prefill
-	if more < 0 {
-		from, to, more = to, from, -more
+	if additional < 0 {
+		from, to, additional = to, from, -additional
 	}
 	var list []RoleChange
 	for _, e := range balanceZones(engines, to) {
-		if e.Orderable && e.Role == from && len(list) < min(more, maximumChanges) {
+		if e.Orderable && e.Role == from && len(list) < min(additional, maximumChanges) {
 			list = append(list, RoleChange{ID: e.ID, Role: to})
 		}
 	}
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -40,14 +40,14 @@
 	return min(engines-1, max(1, int(math.Round(decodeShare*float64(engines)))))
 }
 
-// PlanStages returns the changes that bring the number of decode engines to wanted.
+// PlanStages returns the changes that bring the number of decode engines to wanted, and applies them to engines.
 func PlanStages(engines []StageEngine, wanted int) []StageChange {
-	zones := map[identifier.ZoneID]int{}
+	byZone := map[identifier.ZoneID]int{}
 	decoding, ready := 0, 0
 	for _, e := range engines {
 		if e.Stage == registrar.Answers {
 			decoding++
-			zones[e.Zone]++
+			byZone[e.Zone]++
 			if !e.Busy {
 				ready++
 			}
@@ -55,27 +55,27 @@
 	}
 	var changes []StageChange
 	for ; decoding < wanted; decoding++ {
-		e := pick(engines, registrar.Prompts, func(a StageEngine) int { return zones[a.Zone] })
+		e := pick(engines, registrar.Prompts, func(a StageEngine) int { return byZone[a.Zone] })
 		if e == nil {
 			break
 		}
-		zones[e.Zone]++
+		byZone[e.Zone]++
 		changes = append(changes, change(e, registrar.Answers))
 	}
 	// Engines that are still changing to decode don't count: they serve no answers yet.
 	for ; ready > wanted; ready-- {
-		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -zones[a.Zone] })
+		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -byZone[a.Zone] })
 		if e == nil {
 			break
 		}
-		zones[e.Zone]--
+		byZone[e.Zone]--
 		changes = append(changes, change(e, registrar.Prompts))
 	}
 	return changes
 }
 
 // MaximumWithdrawals returns how many engines of a zone may be withdrawn at once, given the number of decode engines in
-// each zone: any number if enough engines decode in the other zones, else one if at least two decode in all.
+// each zone: any number if enough engines decode in the other zones, else one if at least two decode in total.
 func MaximumWithdrawals(decoding map[identifier.ZoneID]int, zone identifier.ZoneID, engines int) int {
 	total := 0
 	for _, n := range decoding {
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -15,7 +15,8 @@
 const (
 	// plannedUtilization is the planned utilization of the targets that remain after the loss of a zone.
 	plannedUtilization = 0.70
-	// withdrawThreshold separates the levels at which targets are ordered and withdrawn.
+	// withdrawThreshold is the largest fraction of the targets left after a withdrawal that may be needed. It keeps a gap
+	// between the levels at which targets are ordered and withdrawn.
 	withdrawThreshold = 0.75
 	minimumTargets    = 1
 )
@@ -125,13 +126,14 @@
 	slices.SortFunc(candidates, func(a, b TargetState) int {
 		return cmp.Or(
 			cmp.Compare(byZone[b.Zone], byZone[a.Zone]),
-			cmp.Compare(rankCheap(a), rankCheap(b)),
+			cmp.Compare(withdrawalRank(a), withdrawalRank(b)),
 			cmp.Compare(a.ID, b.ID))
 	})
 	return []TargetChange{{Withdraw: candidates[0].ID}}
 }
 
-func rankCheap(t TargetState) int {
+// withdrawalRank orders targets of a zone for withdrawal: regular ones before cheap ones.
+func withdrawalRank(t TargetState) int {
 	if t.Cheap {
 		return 1
 	}
