--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -66,7 +66,7 @@
 
 func TestAdmit(t *testing.T) {
 	for name, tc := range map[string]struct {
-		load   limiter.AdmissionInput
+		in     limiter.AdmissionInput
 		reason string
 	}{
 		"idle":                        {limiter.AdmissionInput{Predicted: 100 * time.Millisecond}, "Admitted"},
@@ -76,8 +76,8 @@
 		"promise out of reach":        {limiter.AdmissionInput{Predicted: 5 * time.Second}, "PromiseOutOfReach"},
 		"all tokens late":             {limiter.AdmissionInput{LateShare: 0.5}, "PromiseOutOfReach"},
 	} {
-		tc.load.Promised = 1600 * time.Millisecond
-		decision := limiter.Admit(tc.load)
+		tc.in.Promised = 1600 * time.Millisecond
+		decision := limiter.Admit(tc.in)
 		quicktest.Check(t, decision.Reason, quicktest.Equals, tc.reason, quicktest.Commentf(name))
 		quicktest.Check(t, decision.Admitted || decision.RetryAfter >= time.Second, quicktest.IsTrue, quicktest.Commentf("%s: refused without a retry delay", name))
 	}
--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -9,7 +9,9 @@
 )
 
 const (
-	rateDecayTime   = 5 * time.Second
+	// rateDecayTime is the time constant of the rate average.
+	rateDecayTime = 5 * time.Second
+	// averagedAnswers is the time constant of the average answer length, counted in answers.
 	averagedAnswers = 32
 )
 
--- a/internal/limiter/share.go
+++ b/internal/limiter/share.go
@@ -2,9 +2,11 @@
 
 import "slices"
 
+// overloadFraction is the fraction of the current use that is shared under overload.
 const overloadFraction = 0.9
 
-// Demand is one team's use of a shared capacity, its weight and its resulting share.
+// Demand is one team's use of a shared capacity, its weight and its resulting share; Wanted and Allowed are in the unit
+// of the capacity.
 type Demand struct {
 	Wanted  float64
 	Weight  float64
