--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -30,6 +30,7 @@
 	services map[identifier.ServiceID]*slidingWindow
 }
 
+// slidingWindow counts in bucketCount complete buckets and the current one.
 type slidingWindow struct {
 	requests [bucketCount + 1]float64
 	retries  [bucketCount + 1]float64
