--- a/internal/chooser/chooser_test.go
+++ b/internal/chooser/chooser_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	relayed, _ := peer.PartsSince(0)
-	quicktest.Assert(t, relayed, quicktest.HasLen, 3, quicktest.Commentf("a part that is reported twice is relayed once"))
+	quicktest.Assert(t, relayed, quicktest.HasLen, 3, quicktest.Commentf("a part that is reported twice is relayed once, so parts do not circulate forever"))
 	cached, _ = states.PartsSince(next)
 	quicktest.Assert(t, cached, quicktest.HasLen, 0)
 }
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -25,14 +25,14 @@
 		regular int
 		cheap   int
 	}{
-		"load unknown, no targets: half cheap":       {placer.FleetInput{Zones: zones(0, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 1, 4},
-		"load unknown: nothing is withdrawn":         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 4, 4},
-		"high load keeps regular targets":            {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 6}, 4, 4},
-		"low load withdraws regular targets":         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 1.5}, 1, 4},
-		"none withdrawn before cheap targets arrive": {placer.FleetInput{Zones: zones(4, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 1.5}, 4, 4},
-		"bursts order no regular targets":            {placer.FleetInput{Zones: zones(2, 6, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 20}, 2, 6},
-		"the minimum is kept":                        {placer.FleetInput{Zones: zones(3, 3, "a", "b", "c", "d"), Minimum: 2, Maximum: 6, CheapPriceFraction: 0.2, Load: 0.1}, 2, 1},
-		"no cheap targets available":                 {placer.FleetInput{Zones: zones(4, 0, "a", "b"), Minimum: 1, Maximum: 8, Load: 4}, 6, 0},
+		"load unknown: cheap targets leave room for regular ones": {placer.FleetInput{Zones: zones(0, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 1, 4},
+		"load unknown: nothing is withdrawn":                      {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2}, 4, 4},
+		"high load keeps regular targets":                         {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 6}, 4, 4},
+		"low load withdraws regular targets":                      {placer.FleetInput{Zones: zones(4, 4, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 1.5}, 1, 4},
+		"none withdrawn before cheap targets arrive":              {placer.FleetInput{Zones: zones(4, 0, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 1.5}, 4, 4},
+		"bursts order no regular targets":                         {placer.FleetInput{Zones: zones(2, 6, "a", "b", "c"), Minimum: 1, Maximum: 8, CheapPriceFraction: 0.2, Load: 20}, 2, 6},
+		"the minimum is kept":                                     {placer.FleetInput{Zones: zones(3, 3, "a", "b", "c", "d"), Minimum: 2, Maximum: 6, CheapPriceFraction: 0.2, Load: 0.1}, 2, 1},
+		"no cheap targets available":                              {placer.FleetInput{Zones: zones(4, 0, "a", "b"), Minimum: 1, Maximum: 8, Load: 4}, 6, 0},
 	} {
 		for _, plan := range placer.PlanFleet(tc.in) {
 			quicktest.Check(t, plan.Regular, quicktest.Equals, tc.regular, quicktest.Commentf("%s: regular", name))
