--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -41,20 +41,23 @@
 
 // Candidate is the state of a target as Choose needs it.
 type Candidate struct {
-	ID               identifier.TargetID
-	Hash             uint64
-	Zone             identifier.ZoneID
-	Role             recorder.Role
-	Cheap            bool
-	Usable           bool
-	AddedAt          time.Time
+	ID     identifier.TargetID
+	Hash   uint64
+	Zone   identifier.ZoneID
+	Role   recorder.Role
+	Cheap  bool
+	Usable bool
+	// SlowStartAt is the start of the slow start, after the target was added or ejected; zero means none.
+	SlowStartAt      time.Time
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int64
 	// BatchLimit is the observed number of concurrent answers up to which tokens are on time.
 	BatchLimit int64
-	Running    int64
-	FreeAt     time.Time
+	// ActiveRequests is the estimated number of requests that run or wait on the target.
+	ActiveRequests int64
+	// FreeAt is the predicted end of the target's prefill queue.
+	FreeAt time.Time
 	// PrefillSlowdown is the observed ratio of the prefill time to that by the prefill rate; zero means 1.
 	PrefillSlowdown float64
 	// LateShare is the share of recent tokens whose gap to the previous token was longer than promised.
@@ -192,7 +195,7 @@
 	if req.Role == recorder.Role_Mixed && !req.Prefilled {
 		cost += stallCost(c, req.PromptTokens-cached)
 	}
-	if age := now.Sub(c.AddedAt); age < slowStartTime {
+	if age := now.Sub(c.SlowStartAt); age < slowStartTime {
 		cost += time.Duration(float64(slowStartCost) * (1 - float64(age)/float64(slowStartTime)))
 	}
 	return Score{Index: i, Predicted: wait, Cost: cost, LateShare: c.LateShare, Cached: cached}
@@ -203,7 +206,7 @@
 	if c.Slots <= 0 || c.PrefillPerSecond <= 0 {
 		return 0
 	}
-	used := min(1, float64(c.Running)/float64(c.Slots))
+	used := min(1, float64(c.ActiveRequests)/float64(c.Slots))
 	return time.Duration(stallWeight * used * float64(uncached) / c.PrefillPerSecond * float64(time.Second))
 }
 
@@ -212,16 +215,16 @@
 	if c.Slots <= 0 {
 		return 0
 	}
-	used := min(1, float64(c.Running)/float64(c.Slots))
+	used := min(1, float64(c.ActiveRequests)/float64(c.Slots))
 	return time.Duration(used * used * float64(maximumBatchCost))
 }
 
 // slotWait predicts the wait for a batch slot.
 func slotWait(c *Candidate) time.Duration {
-	if c.BatchLimit <= 0 || c.Running < c.BatchLimit {
+	if c.BatchLimit <= 0 || c.ActiveRequests < c.BatchLimit {
 		return 0
 	}
-	over := float64(c.Running-c.BatchLimit+1) / float64(c.BatchLimit)
+	over := float64(c.ActiveRequests-c.BatchLimit+1) / float64(c.BatchLimit)
 	return time.Duration(math.Min(60, 1+2*over) * float64(time.Second))
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -31,10 +31,10 @@
 	}{
 		"the shorter queue":            {func(_, o *router.Candidate, _ *router.Request) { o.FreeAt = now.Add(time.Second) }},
 		"the cached prompt":            {func(g, _ *router.Candidate, _ *router.Request) { g.Cache = cachedParts(2) }},
-		"the less loaded batch":        {func(_, o *router.Candidate, _ *router.Request) { o.Running = 20 }},
-		"not the full batch":           {func(_, o *router.Candidate, _ *router.Request) { o.Running = 32 }},
+		"the less loaded batch":        {func(_, o *router.Candidate, _ *router.Request) { o.ActiveRequests = 20 }},
+		"not the full batch":           {func(_, o *router.Candidate, _ *router.Request) { o.ActiveRequests = 32 }},
 		"the same zone":                {func(_, o *router.Candidate, _ *router.Request) { o.Zone = "b" }},
-		"not the new one":              {func(_, o *router.Candidate, _ *router.Request) { o.AddedAt = now }},
+		"not the new one":              {func(_, o *router.Candidate, _ *router.Request) { o.SlowStartAt = now }},
 		"not the one with late tokens": {func(_, o *router.Candidate, _ *router.Request) { o.LateShare = 0.2 }},
 		"not the unusable one":         {func(_, o *router.Candidate, _ *router.Request) { o.Usable = false }},
 		"not the one of another role":  {func(_, o *router.Candidate, _ *router.Request) { o.Role = recorder.Role_Prefill }},
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -31,8 +31,8 @@
 type target struct {
 	spec *recorder.Target
 	role recorder.Role
-	// activeSince is the start of the slow start; zero means none.
-	activeSince time.Time
+	// slowStartAt is the start of the slow start; zero means none.
+	slowStartAt time.Time
 	polling     bool
 	pollCount   int
 	nextEvent   uint64
@@ -70,7 +70,7 @@
 func newTarget(spec *recorder.Target, now time.Time, first bool) *target {
 	tg := &target{spec: spec, parts: map[uint64]bool{}}
 	if !first {
-		tg.activeSince = now
+		tg.slowStartAt = now
 	}
 	return tg
 }
@@ -243,7 +243,7 @@
 	ejection := min(maximumEjection, initialEjection<<min(tg.ejections, 10))
 	tg.ejections++
 	tg.ejectedUntil = now.Add(ejection)
-	tg.activeSince = tg.ejectedUntil
+	tg.slowStartAt = tg.ejectedUntil
 	tg.parts = map[uint64]bool{}
 }
 
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -202,8 +202,8 @@
 		c := &g.candidates[i]
 		c.Role = tg.role
 		c.Usable = tg.usable(now) && !t.leaving[c.ID] && !t.draining[c.ID]
-		c.AddedAt = tg.activeSince
-		c.Running = tg.activeRequests()
+		c.SlowStartAt = tg.slowStartAt
+		c.ActiveRequests = tg.activeRequests()
 		c.FreeAt = tg.prefillFreeAt
 		c.PrefillSlowdown = tg.prefillSlowdown
 		c.LateShare = tg.decayedLateShare(now)
