--- a/internal/matcher/configuration.go
+++ b/internal/matcher/configuration.go
@@ -31,19 +31,23 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time until the answer is complete.
+	// Timeout is the maximum time until the answer is complete.
 	Timeout time.Duration
 	// Latency is the promised time to the answer or its first event.
 	Latency time.Duration
-	// MaximumEventGap is the promised longest time between two events.
+	// MaximumEventGap is the promised maximum time between two events.
 	MaximumEventGap time.Duration
 	// Priority orders requests; 0 is the most urgent.
 	Priority         int
 	WeightedServices []WeightedService
-	Attempts         int
-	Public           bool
-	HasPrompts       bool
-	Resumable        bool
+	// Attempts is the maximum number of attempts per request.
+	Attempts int
+	// Public requests need no key.
+	Public bool
+	// HasPrompts is set if the requests carry prompts, which are routed by their cached parts.
+	HasPrompts bool
+	// Resumable streams may be continued by another attempt after an interruption.
+	Resumable bool
 }
 
 // Repeatable reports whether a request of the route may run again from its beginning.
@@ -59,19 +63,22 @@
 	HandleLifetime time.Duration
 }
 
-// Scaling limits how many targets of a service may be ordered in each availability zone, and describes their cost.
+// Scaling limits how many targets of a service may be ordered in each availability zone, and gives their boot time and
+// prices.
 type Scaling struct {
-	Minimum            int
-	Maximum            int
-	BootTime           time.Duration
+	Minimum  int
+	Maximum  int
+	BootTime time.Duration
+	// CheapPriceFraction is the price of a cheap target as a fraction of the regular price.
 	CheapPriceFraction float64
 	Prices             map[identifier.ZoneID]float64
 }
 
 // Service is a group of interchangeable targets.
 type Service struct {
-	ID              identifier.ServiceID
-	HealthPath      string
+	ID         identifier.ServiceID
+	HealthPath string
+	// ConnectionLimit is the maximum number of connections to one target, shared by all instances; zero means no limit.
 	ConnectionLimit int
 	// Engine is nil for plain services.
 	Engine *Engine
--- a/internal/matcher/table.go
+++ b/internal/matcher/table.go
@@ -89,7 +89,7 @@
 	return r.Priority
 }
 
-// normalizeHost removes the port and lowers the case.
+// normalizeHost removes the port of a host and converts it to lower case.
 func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
