--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// minimumInstances is the number of instances in the client's availability zone below which all zones are used.
+	// minimumInstances is the smallest number of instances to offer, as far as that many are ready: a single one may fail.
 	minimumInstances = 2
-	// maximumInstances is how many addresses a client accepts.
+	// maximumInstances is the maximum number of addresses that a client accepts.
 	maximumInstances = 64
 )
 
 // Choose returns the instances to offer to a client in an availability zone: those of its own zone if there are enough,
 // else those of all zones. Clients pick one at random, so an instance with less than the median capacity is offered in
-// a correspondingly smaller fraction of the answers; random returns numbers from 0 to 1.
+// a correspondingly smaller fraction of the answers. If that leaves too few, all are offered. random returns numbers
+// from 0 to 1.
 func Choose(ready []*gossiper.Member, zone identifier.ZoneID, random func() float64) []*gossiper.Member {
 	var nearby []*gossiper.Member
 	for _, m := range ready {
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -28,8 +28,8 @@
 	quicktest.Check(t, len(director.Choose(members(make([]uint32, 300)...), "z0", zero)) <= 64, quicktest.IsTrue)
 }
 
-// TestWeakInstancesAreOfferedLess counts how often each instance is offered when one has a tenth of the capacity of the
-// others.
+// TestWeakInstancesAreOfferedLess checks that an instance with a tenth of the median capacity is offered in about a
+// tenth of the answers, so that clients, which pick at random, don't overload it.
 func TestWeakInstancesAreOfferedLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	offered := map[string]int{}
