--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -27,7 +27,7 @@
 // String returns the stage's name in logs.
 func (s Stage) String() string { return [...]string{"Any", "Prompts", "Answers"}[s] }
 
-// Target is the newest entry of one incarnation of a target.
+// Target is an entry of one incarnation of a target, with the properties that the target reports.
 type Target struct {
 	ID      identifier.TargetID
 	Service identifier.ServiceID
@@ -38,9 +38,9 @@
 	Leaving bool
 	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// WarmUpRemaining is how much longer it stays slow after its start, counted from its entry.
+	// WarmUpRemaining is how much longer it is slow after its start, counted from its entry.
 	WarmUpRemaining time.Duration
-	// StartedAt is its start time; a different one means a new incarnation, whose cache is empty.
+	// StartedAt is its start time; a different one means a new incarnation, which has lost all earlier state.
 	StartedAt time.Time
 	// Revision numbers the target's entries since its start.
 	Revision uint64
@@ -59,7 +59,8 @@
 	at        time.Time
 }
 
-// lastEntryLifetime is how long it is kept: delayed entries arrive within seconds.
+// lastEntryLifetime is how long after its arrival the lastEntry of a removed target is kept: delayed entries arrive within
+// seconds.
 const lastEntryLifetime = time.Minute
 
 // pendingOrder is an order to change a target's stage.
@@ -81,7 +82,7 @@
 	list      atomic.Pointer[[]*Target]
 }
 
-// Put adds or replaces a target, unless the entry is older than the newest one of the same incarnation, or would revoke
+// Put adds or replaces a target, unless the entry is older than the newest one of the same incarnation, or would cancel
 // its leaving. It reports whether the entry was accepted.
 func (r *Registrar) Put(t Target, now time.Time) bool {
 	r.mu.Lock()
@@ -125,7 +126,8 @@
 	r.publish()
 }
 
-// Expire removes lapsed targets whose entries did not return in time, and forgets old orders and entries.
+// Expire removes lapsed targets whose entries did not return in time, expired orders, and the old entries of
+// removed targets.
 func (r *Registrar) Expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +146,7 @@
 	}
 }
 
-// Targets returns all targets sorted by id; the list and its targets must not be changed.
+// Targets returns an immutable snapshot of all targets, sorted by id.
 func (r *Registrar) Targets() []*Target {
 	list := r.list.Load()
 	if list == nil {
@@ -183,7 +185,7 @@
 	Remaining time.Duration
 }
 
-// Orders returns the stage changes that are not complete.
+// Orders returns the stage changes in progress.
 func (r *Registrar) Orders(now time.Time) []StageOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
