--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -15,11 +15,12 @@
 // the same stale load report do not all choose the same target; and one random candidate of the request's
 // availability zone.
 //
-// It then chooses the one with the lowest cost. The cost starts from the predicted time to first token: the queue of
-// the last report, the requests that this instance has sent since, the uncached prompt tokens divided by the target's
-// prefill rate, multiplied by the observed slowdown, the wait for a batch slot and the delay to another availability
-// zone. The effect on answers that run on the same target is added: the use of the batch, the share of late tokens
-// and, on a mixed engine, the prefill time. A new target has an extra cost that falls to zero during its slow start.
+// It then chooses the one with the lowest cost. The cost starts from the predicted time to first token. This is the
+// prefill time (the queue of the last report, the requests that this instance has sent since, and the uncached prompt
+// tokens divided by the target's prefill rate), multiplied by the observed slowdown, plus the wait for a batch slot and
+// the delay to another availability zone. The effect on answers that run on the same target is added: the used share of
+// the batch, the share of late tokens and, on a mixed engine, the prefill time. A target that is new or returns from an
+// ejection has an extra cost that falls to zero during its slow start.
 
 const (
 	affinityCandidates = 2
@@ -47,18 +48,18 @@
 	Role   recorder.Role
 	Cheap  bool
 	Usable bool
-	// SlowStartAt is the start of the slow start, after the target was added or ejected; zero means none.
+	// SlowStartAt is the start of the slow start, when the target was added or its ejection ended; zero means none.
 	SlowStartAt      time.Time
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	Slots            int64
-	// BatchLimit is the observed number of concurrent answers up to which tokens are on time.
+	// BatchLimit is the estimated number of concurrent answers up to which tokens are on time.
 	BatchLimit int64
 	// ActiveRequests is the estimated number of requests that run or wait on the target.
 	ActiveRequests int64
 	// FreeAt is the predicted end of the target's prefill queue.
 	FreeAt time.Time
-	// PrefillSlowdown is the observed ratio of the prefill time to that by the prefill rate; zero means 1.
+	// PrefillSlowdown is the observed ratio of measured to predicted prefill time; zero means 1.
 	PrefillSlowdown float64
 	// LateShare is the share of recent tokens whose gap to the previous token was longer than promised.
 	LateShare float64
@@ -88,7 +89,7 @@
 	Cached    identifier.Tokens
 }
 
-// Choice is the best candidate and the Compared first entries of Scores, the candidates that were compared.
+// Choice is the outcome of Choose: the best candidate, and in Scores[:Compared] all candidates that were compared.
 type Choice struct {
 	Best     Score
 	Scores   [maximumCandidates]Score
@@ -124,8 +125,8 @@
 	}
 }
 
-// sample returns the indexes of candidates by affinity, at random and at random in the request's zone; an index below
-// zero is an empty place.
+// sample returns the indexes of candidates by affinity, at random and at random in the request's zone. Negative indexes
+// are empty places.
 func sample(req *Request, candidates []Candidate) [maximumCandidates]int {
 	sampled := [maximumCandidates]int{-1, -1, -1, -1, -1, -1}
 	var weights [maximumCandidates]uint64
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -57,6 +57,8 @@
 	}
 }
 
+// TestSamePrefixGoesToTheSameTargets checks that two owners of a prefix are always among the compared candidates, and
+// that the other candidates vary.
 func TestSamePrefixGoesToTheSameTargets(t *testing.T) {
 	candidates := fleet(12)
 	seen := map[int]int{}
