--- a/internal/tracker/plan.go
+++ b/internal/tracker/plan.go
@@ -21,8 +21,8 @@
 	Cached    identifier.Tokens
 }
 
-// Plan chooses the cheapest plan: a mixed engine alone, or a prefill engine together with a decode or
-// mixed engine that imports the KV cache. If neither is available, a decode engine also prefills the prompt.
+// Plan chooses the plan with the lowest cost: a mixed engine alone, or a prefill engine together with a decode or mixed
+// engine that imports the KV cache. If neither is available, a decode engine also prefills the prompt.
 func (t *Tracker) Plan(name string, req router.Request, onScore func(identifier.TargetID, router.Score)) (Plan, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,7 +61,7 @@
 	return Plan{}, false
 }
 
-// Release undoes the accounting of a plan that was not executed.
+// Release undoes the accounting of a plan whose requests were not sent.
 func (t *Tracker) Release(p Plan) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -26,12 +26,12 @@
 	minimumBatchFraction    = 0.25
 )
 
-// target holds the state of one target. The predicted end of its prefill queue and its active requests are
-// the figures of the last load report plus the requests that this instance sent after that report.
+// target holds the state of one target. The predicted end of its prefill queue and its active requests are those of the
+// last load report, plus the requests that this instance sent since and the load that its peers are assumed to add.
 type target struct {
 	spec *recorder.Target
 	role recorder.Role
-	// slowStartAt is the start of the slow start; zero means none.
+	// slowStartAt is the start of the slow start, when the target was added or its ejection ended; zero means none.
 	slowStartAt time.Time
 	polling     bool
 	pollCount   int
@@ -47,7 +47,7 @@
 	inFlight      int64
 	// prefillSlowdown is the moving average of measured over predicted prefill time; zero means no observation.
 	prefillSlowdown float64
-	// peerSendRatio is the load that all other entry instances are assumed to add, as a multiple of this one's.
+	// peerSendRatio is the load that all other entry instances together are assumed to add, as a multiple of this one's.
 	peerSendRatio float64
 	// late is the moving average of the share of late tokens.
 	late               float64
@@ -218,8 +218,8 @@
 	tg.failures = 0
 }
 
-// events updates the set of cached parts. It discards the set if events are missing or the sequence numbers
-// went back.
+// events updates the set of cached parts. It discards the set first if events are missing or the sequence numbers went
+// back.
 func (tg *target) events(page chatter.CacheEvents) {
 	if page.Next < tg.nextEvent || len(page.Events) > 0 && page.Events[0].Sequence > tg.nextEvent {
 		tg.parts = map[uint64]bool{}
@@ -234,7 +234,8 @@
 	}
 }
 
-// recordFailure ejects the target after several consecutive failures, with exponentially growing duration.
+// recordFailure counts a failure and ejects the target after several consecutive ones, each time for twice as long, up
+// to maximumEjection.
 func (tg *target) recordFailure(now time.Time) {
 	tg.failures++
 	if tg.failures < failuresToEject || now.Before(tg.ejectedUntil) {
@@ -279,7 +280,8 @@
 	return list
 }
 
-// cancelSend undoes the recordSend of a request that was not executed. It drops the most recent records.
+// cancelSend undoes the recordSend of a request that was not sent. It drops the newest records, which may be those of
+// another request.
 func (tg *target) cancelSend(cost time.Duration) {
 	tg.inFlight--
 	tg.prefillFreeAt = tg.prefillFreeAt.Add(-tg.withPeerSends(cost))
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -116,8 +116,8 @@
 	})
 }
 
-// SetEntryCount sets the number of entry instances that send to the same targets. The load that the others added
-// since a report is assumed to be a fraction of this one's load, because not all instances choose the same targets.
+// SetEntryCount sets the number of entry instances that send to the same targets. The load that each other instance has
+// added since a report is assumed to be a fraction of this one's, because not all instances choose the same targets.
 func (t *Tracker) SetEntryCount(count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// SetRoles overrides the roles of the inventory with the ones that orders have set.
+// SetRoles overrides the roles of the inventory with those set by orders.
 func (t *Tracker) SetRoles(roles map[identifier.TargetID]recorder.Role) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,8 +211,8 @@
 	}
 }
 
-// FirstToken records that the first token of an answer, or the end of a separate prefill, has just been
-// observed. It compares the time since the request was sent with the time predicted from the prefill rate.
+// FirstToken records the first token of an answer, or the end of a separate prefill, at the time of the call. It
+// compares the time since the request was sent with the time predicted from the prefill rate.
 func (t *Tracker) FirstToken(a Assignment) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
