--- a/internal/relayer/attempt.go
+++ b/internal/relayer/attempt.go
@@ -15,10 +15,10 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/tracker"
 )
 
-// ErrInvalidAnswer is returned when a target's answer is malformed, incomplete or for another request.
+// ErrInvalidAnswer is returned when a target's answer is malformed, incomplete, too large or for another request.
 var ErrInvalidAnswer = errors.New("invalid answer from target")
 
-// ErrTargetStatus is returned when a target responds with an error status.
+// ErrTargetStatus is returned when a target responds with a status other than 200.
 var ErrTargetStatus = errors.New("target returned an error")
 
 // attempt sends the request as planned and relays the answer, starting after the tokens already delivered. If the
@@ -87,7 +87,8 @@
 	}
 }
 
-// relayEvent forwards an event that carries the next token and records its usage.
+// relayEvent forwards an event that carries the next token, and accounts the usage every usageInterval. An event
+// after a gap is an error, and one without a new token goes to relayFinal.
 func (s *Relayer) relayEvent(h *chat, event chatter.Event) error {
 	if event.Number > h.delivered+1 {
 		return fmt.Errorf("%w: token %d follows token %d", ErrInvalidAnswer, event.Number, h.delivered)
@@ -111,7 +112,7 @@
 	return forwardEvent(h, event)
 }
 
-// observeToken reports the first token of the attempt to the tracker, and counts later tokens and the late ones
+// observeToken reports the first token of the attempt to the tracker. It counts the later tokens, and the late ones
 // among them.
 func (s *Relayer) observeToken(h *chat, now time.Time) {
 	if h.lastTokenAt.IsZero() {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// prefill runs the prompt on a prefill engine and returns the handle of its KV cache.
+// prefill computes the prompt's KV cache on a prefill engine and returns its handle.
 func (s *Relayer) prefill(h *chat, assignment tracker.Assignment) (chatter.Transfer, error) {
 	var transfer chatter.Transfer
 	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, "http://"+assignment.Address+"/kv/prefill", bytes.NewReader(h.body))
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -28,7 +28,7 @@
 	parts          []uint64
 	promptTokens   identifier.Tokens
 	uncachedTokens identifier.Tokens
-	// delivered is the number of answer tokens relayed so far.
+	// delivered is the number of answer tokens received in order so far, and relayed if the caller asked for a stream.
 	delivered       int64
 	text            strings.Builder
 	usage           *chatter.Usage
@@ -40,7 +40,8 @@
 	observation
 }
 
-// observation holds the plan of the current attempt and its token timing that is not yet passed to the tracker.
+// observation holds the plan of the current attempt, the time of its last token, and the token counts that are not yet
+// passed to the tracker.
 type observation struct {
 	plan        tracker.Plan
 	lastTokenAt time.Time
@@ -166,7 +167,7 @@
 	name := tracker.ModelGroup(identifier.ModelID(h.request.Model))
 	plan, ok := s.Tracker.Plan(name, req, onScore)
 	if !ok && len(h.tried) > 0 {
-		// Every usable target has failed once; allow them again, as they may still resume the stream.
+		// Every usable target has failed once: allow all again, as a target that failed may still resume the stream.
 		clear(h.tried)
 		plan, ok = s.Tracker.Plan(name, req, onScore)
 	}
@@ -234,7 +235,8 @@
 	}
 }
 
-// abort ends a request with an error response, or with an error event if the response has already started.
+// abort ends a request with an error response or, if the response has already started, with an error event and an
+// aborted connection.
 func (s *Relayer) abort(h *chat, refusal *answerer.Refusal) {
 	if !h.headerWritten {
 		s.refuse(h.call, refusal)
@@ -284,12 +286,12 @@
 	if h.accountedTokens == 0 && h.delivered > 0 {
 		u.PromptTokens = int64(h.promptTokens)
 	}
-	subject := limiter.RateKey{Team: h.team, Model: identifier.ModelID(h.request.Model)}
+	rateKey := limiter.RateKey{Team: h.team, Model: identifier.ModelID(h.request.Model)}
 	prefillTokens := identifier.Tokens(0)
 	if u.PromptTokens > 0 {
 		prefillTokens = h.uncachedTokens
 	}
-	s.Meter.Add(subject, prefillTokens, identifier.Tokens(u.OutputTokens))
+	s.Meter.Add(rateKey, prefillTokens, identifier.Tokens(u.OutputTokens))
 	s.Ledger.Add(u)
 	h.accountedTokens = h.delivered
 	h.accountedAt = time.Now()
--- a/internal/relayer/constants.go
+++ b/internal/relayer/constants.go
@@ -12,6 +12,7 @@
 	journalRetryAfter    = 2 * time.Second
 	usageInterval        = 200 * time.Millisecond
 	maximumAttempts      = 4
+	// maximumReplayBytes limits the answer body that a journal record keeps, and the response to a separate prefill.
 	maximumReplayBytes   = 4 << 10
 	idempotencyKeyHeader = "Idempotency-Key"
 	replayedHeader       = "X-Replayed"
--- a/internal/relayer/relay_test.go
+++ b/internal/relayer/relay_test.go
@@ -43,7 +43,7 @@
 	return b.String()
 }
 
-// answerFrom returns a request's answer without its first tokens.
+// answerFrom returns the tokens of a request's answer after number from, and its final events.
 func answerFrom(id string, from int64) string {
 	var b strings.Builder
 	for n := from + 1; n <= tokens; n++ {
@@ -57,16 +57,16 @@
 
 var faultyAnswers = map[string]faultyAnswer{
 	"truncated":       func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 2)) },
-	"cut in an event": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 2)[:20]) },
+	"truncated event": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 2)[:20]) },
 	"duplicate token": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), chunk(id, 1), answerFrom(id, 1)) },
 	"gap":             func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), answerFrom(id, 2)) },
-	"another's chunk": func(w http.ResponseWriter, id string) {
+	"chunk of another request": func(w http.ResponseWriter, id string) {
 		fmt.Fprint(w, chunk(id, 1), chunk("other", 2), answerFrom(id, 2))
 	},
-	"no last chunk": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "data: [DONE]\n\n") },
-	"not an event":  func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "id: x\ndata: {}\n\n") },
-	"error status":  func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) },
-	"another's answer": func(w http.ResponseWriter, id string) {
+	"no final chunk": func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "data: [DONE]\n\n") },
+	"not an event":   func(w http.ResponseWriter, id string) { fmt.Fprint(w, chunk(id, 1), "id: x\ndata: {}\n\n") },
+	"error status":   func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) },
+	"answer to another request": func(w http.ResponseWriter, id string) {
 		w.Header().Set(chatter.RequestIDHeader, "other")
 		fmt.Fprint(w, answerFrom("other", 0))
 	},
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -150,7 +150,7 @@
 	return assignment, nil
 }
 
-// send sends the call to its target, on a new connection unless the call is repeatable. ErrNotSent means that it
+// send sends the call to its target, on a new connection unless the call is repeatable. ErrNotSent means that the call
 // cannot have run.
 func (s *Relayer) send(v *serviceCall, assignment tracker.Assignment) (*reply, error) {
 	var connected atomic.Bool
