--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -59,8 +59,8 @@
 	at        time.Time
 }
 
-// lastEntryLifetime is how long after its arrival the lastEntry of a removed target is kept: delayed entries arrive within
-// seconds.
+// lastEntryLifetime is how long after its arrival the lastEntry of a removed target is kept: delayed entries arrive
+// within seconds.
 const lastEntryLifetime = time.Minute
 
 // pendingOrder is an order to change a target's stage.
