--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -90,6 +90,7 @@
 
 // Report is the usage of all teams in one closed window.
 type Report struct {
+	// Window is the number of the window.
 	Window uint64
 	Sender string
 	Fence  identifier.Fence
@@ -110,8 +111,7 @@
 	return response.Offset, err
 }
 
-// Read returns the records of a stream from an offset on. If there are none yet, it waits for
-// one, for at most wait.
+// Read returns the records of a stream from an offset on. If there are none yet, it waits for one, for at most wait.
 func (p *Provider) Read(ctx context.Context, stream identifier.StreamID, from identifier.Offset, wait time.Duration) (Page, error) {
 	q := url.Values{}
 	q.Set("From", strconv.FormatUint(uint64(from), 10))
