--- a/internal/pooler/exchange.go
+++ b/internal/pooler/exchange.go
@@ -172,8 +172,8 @@
 	})
 }
 
-// finish returns the connection to the pool if the whole request was written and no data is left to read; otherwise it
-// closes the connection.
+// finish returns the connection to the pool, where it is kept for at most keep, if the whole request was written and no
+// data is left to read; otherwise, or if keep is not positive, it closes the connection.
 func (x *exchange) finish(keep time.Duration) {
 	x.once.Do(func() {
 		if !x.stop() || keep <= 0 || x.conn.r.Buffered() > 0 || !x.requestWritten() {
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -171,7 +171,8 @@
 	return expired
 }
 
-// healthy reports whether an idle connection is open and has received no unsolicited data.
+// healthy reports whether an idle connection is open and has received no unsolicited data. A connection that is not a
+// socket is assumed to be open.
 func (c *conn) healthy() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok || c.r.Buffered() > 0 {
--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -70,7 +70,7 @@
 func sendLimited(p *pooler.Pool, tg *target, id string, maximumIdle time.Duration, connections int) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	a, err := p.Do(ctx, &pooler.Request{
+	response, err := p.Do(ctx, &pooler.Request{
 		Address: tg.addr, Method: http.MethodPost, URI: "/x", Host: "h", Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
 		MaximumIdle: maximumIdle, Connections: connections,
 		Matches: func(_ int, h http.Header) bool { return h.Get("X-Id") == id },
@@ -78,8 +78,8 @@
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
 	return string(body), err
 }
 
