--- a/internal/exchanger/client.go
+++ b/internal/exchanger/client.go
@@ -20,7 +20,8 @@
 // ErrUnreachable is returned when a peer cannot be reached or sends no reply in time.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// defaultCallTimeout bounds a call whose context has no deadline.
+// defaultCallTimeout bounds sending a request and reading its reply if the context has no deadline; it does not cover
+// opening the session.
 const defaultCallTimeout = time.Second
 
 // Client sends requests to peers and keeps one yamux session to each; Dial must be set.
@@ -41,7 +42,7 @@
 	return reply, nil
 }
 
-// Exchange sends req to the peer at addr and decodes its answer into reply; errors wrap ErrUnreachable.
+// Exchange sends req to the peer at addr and decodes the peer's reply into reply; errors wrap ErrUnreachable.
 func (c *Client) Exchange(ctx context.Context, addr string, req, reply proto.Message) error {
 	session, err := c.session(ctx, addr)
 	if err != nil {
