--- a/internal/tracer/trace.go
+++ b/internal/tracer/trace.go
@@ -14,8 +14,8 @@
 // ErrUnknownRequest is returned when no line names the request.
 var ErrUnknownRequest = errors.New("no line names the request")
 
-// maximumStateAge is how old a target's last state line may be at the start of a request to be shown: the entry of a lost
-// target expires within a few seconds.
+// maximumStateAge is how long before a request's arrival a state line may be to be shown; the latest configuration and an
+// ongoing loss of the store are shown whatever their age. The entry of a lost target expires within a few seconds.
 const maximumStateAge = 10 * time.Second
 
 // Trace holds the log lines that explain how one request was handled.
@@ -24,7 +24,8 @@
 	// RequestLines are the lines that contain the request's ID.
 	RequestLines []Line
 	// StateLines are the lines that show what the instance knew of the request's targets, the configuration, the store
-	// and its peers: the last one of each before the request, as far as it still matters, and all during the request.
+	// and its peers: all lines during the request and, except for peers, the last one of each before it, if that is recent
+	// (see maximumStateAge).
 	StateLines []Line
 }
 
@@ -106,14 +107,14 @@
 	"NoTarget":            "no target took new work; it did not run",
 	"TargetsFull":         "the targets refused it; it did not run",
 	"AnswerTargetFull":    "the targets for answers refused it; it did not run",
-	"PromptTargetsFailed": "no target read its prompt",
+	"PromptTargetsFailed": "no target prefilled its prompt",
 	"RetryBudgetSpent":    "one more send would have exceeded the retry budget that all instances share",
 	"TargetFailed":        "the connection to a target broke after it had been sent; it may have run",
 	"StreamBroken":        "its stream broke off at a target; it may have run",
 	"AnswerBroken":        "its answer broke off at a target; it may have run",
 	"Interrupted":         "it was interrupted; it may have run",
 	"Timeout":             "its deadline or its route's timeout passed; it may have run",
-	"PromptTimeout":       "its deadline or its route's timeout passed before its prompt was read",
+	"PromptTimeout":       "its deadline or its route's timeout passed before its prompt was prefilled",
 }
 
 // Cause returns a sentence that says how the request ended and why.
