--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -34,6 +34,7 @@
 
 // Caller sends requests to entry instances; Seeds and HTTP must be set.
 type Caller struct {
+	// Seeds are the base URLs of entry instances from which addresses are fetched if no cached one responds.
 	Seeds []string
 	Zone  identifier.ZoneID
 	HTTP  *http.Client
