--- a/internal/parser/constants.go
+++ b/internal/parser/constants.go
@@ -28,8 +28,8 @@
 	maximumTokensPerSecond           = 1e9
 	maximumSlots                     = 1 << 16
 	minimumMilliseconds              = 1
-	defaultPrefillPerSecond          = 20_000
-	defaultDecodePerSecond           = 40
+	defaultPrefillTokensPerSecond    = 20_000
+	defaultDecodeTokensPerSecond     = 40
 	defaultSlots                     = 32
 	minimumLeaseMilliseconds         = 100
 	defaultSurvivingShare            = 1
--- a/internal/parser/document.go
+++ b/internal/parser/document.go
@@ -177,8 +177,8 @@
 	return n
 }
 
-// list returns the comma-separated values of a key, each of which must be in allowed. A fault describes the allowed values
-// by expected.
+// list returns the comma-separated values of a key, each of which must be in allowed; expected describes the allowed values
+// in a fault.
 func (s *section) list(key string, allowed map[string]bool, expected string) []string {
 	var values []string
 	for _, v := range strings.Split(s.raw(key, ""), ",") {
--- a/internal/parser/entry.go
+++ b/internal/parser/entry.go
@@ -42,15 +42,18 @@
 type EntryBounds struct {
 	Lease              time.Duration
 	ConfigurationApply time.Duration
-	Grace              time.Duration
-	UsageWindow        time.Duration
-	UsageLate          time.Duration
-	RetryRatio         float64
-	RetrySlack         float64
-	RetryWindow        time.Duration
-	AddressLifetime    time.Duration
-	Descriptors        int
-	MemoryMegabytes    int64
+	// Grace is the time from the signal to stop until the process must have exited.
+	Grace       time.Duration
+	UsageWindow time.Duration
+	// UsageLate is the time after its end within which a usage window may still be reported.
+	UsageLate time.Duration
+	// In any RetryWindow the retries of all instances stay under RetryRatio times the requests plus RetrySlack.
+	RetryRatio      float64
+	RetrySlack      float64
+	RetryWindow     time.Duration
+	AddressLifetime time.Duration
+	Descriptors     int
+	MemoryMegabytes int64
 	// Cores is the number of processor cores that the process may use; it can be a fraction.
 	Cores float64
 	// LinkMegabits is the bandwidth of the machine's network link.
--- a/internal/parser/inventory.go
+++ b/internal/parser/inventory.go
@@ -41,8 +41,8 @@
 		ChecksFence:            s.boolean("ChecksFence", false),
 		Cheap:                  s.boolean("Cheap", false),
 		PricePerHour:           s.number("PricePerHour", 0, 0, maximumPricePerHour),
-		PrefillTokensPerSecond: s.number("PrefillTokensPerSecond", defaultPrefillPerSecond, 1, maximumTokensPerSecond),
-		DecodeTokensPerSecond:  s.number("DecodeTokensPerSecond", defaultDecodePerSecond, 1, maximumTokensPerSecond),
+		PrefillTokensPerSecond: s.number("PrefillTokensPerSecond", defaultPrefillTokensPerSecond, 1, maximumTokensPerSecond),
+		DecodeTokensPerSecond:  s.number("DecodeTokensPerSecond", defaultDecodeTokensPerSecond, 1, maximumTokensPerSecond),
 		Slots:                  s.integer("Slots", defaultSlots, 1, maximumSlots),
 	}
 	if t.Kind == recorder.TargetKind_Engine && t.Model == "" {
--- a/internal/parser/settings.go
+++ b/internal/parser/settings.go
@@ -31,15 +31,19 @@
 
 // Timing holds the durations that all instances of a site have in common.
 type Timing struct {
-	Lease           time.Duration
+	Lease time.Duration
+	// DriftMargin is the clock drift allowed for when an instance waits for the lease or the freshness of another to expire.
 	DriftMargin     time.Duration
 	OrderTimeout    time.Duration
 	AddressLifetime time.Duration
-	Freshness       time.Duration
-	Heartbeat       time.Duration
-	UsageInterval   time.Duration
-	Window          time.Duration
-	Stop            time.Duration
+	// Freshness is how long an instance serves after it last knew that its configuration was current.
+	Freshness     time.Duration
+	Heartbeat     time.Duration
+	UsageInterval time.Duration
+	// Window is the length of a usage window.
+	Window time.Duration
+	// Stop is how long an instance that stops waits for the requests in flight.
+	Stop time.Duration
 }
 
 // ParseSettings reads the settings of an entry instance; the error holds Faults.
