--- a/internal/commander/call.go
+++ b/internal/commander/call.go
@@ -40,7 +40,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnreachable, err)
+		return fmt.Errorf("%w: read response: %w", ErrUnreachable, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return refusalError(resp, data)
@@ -59,7 +59,7 @@
 	if c.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", c.IdempotencyKey)
 	}
-	// Without GetBody the HTTP transport cannot resend the call on its own, which might run it twice.
+	// The HTTP transport must not resend the call on its own; without GetBody it cannot resend a body.
 	req.GetBody = nil
 	return req, nil
 }
--- a/internal/commander/check.go
+++ b/internal/commander/check.go
@@ -12,8 +12,8 @@
 	deferred
 	Settings      []string `long:"Settings" value-name:"FILE" description:"settings for the serve command; may be given several times"`
 	EntrySettings []string `long:"EntrySettings" value-name:"FILE" description:"settings for the entry command; may be given several times"`
-	Inventory     string   `long:"Inventory" value-name:"FILE" description:"inventory"`
-	Rules         string   `long:"Rules" value-name:"FILE" description:"rules, checked against the inventory"`
+	Inventory     string   `long:"Inventory" value-name:"FILE" description:"inventory of zones, teams and targets"`
+	Rules         string   `long:"Rules" value-name:"FILE" description:"rules, checked against the file of --Inventory"`
 	JSON          bool     `long:"Json" description:"print JSON"`
 }
 
--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -51,7 +51,7 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maximumResponseBytes))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnreachable, err)
+		return fmt.Errorf("%w: read response: %w", ErrUnreachable, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
 		return refusalError(resp, data)
--- a/internal/commander/entry.go
+++ b/internal/commander/entry.go
@@ -16,7 +16,7 @@
 
 type entryCommand struct {
 	deferred
-	Settings string `long:"Settings" value-name:"FILE" description:"settings of the entry instance; default: the file that the platform names"`
+	Settings string `long:"Settings" value-name:"FILE" description:"settings of the entry instance; default: the file that COLTSFOOTSCALE_NODE_FILE names, else /etc/coltsfootscale/node.yaml"`
 	DryRun   bool   `long:"DryRun" description:"print the effective settings, including defaults, and exit"`
 	Debug    bool   `long:"Debug" description:"log debug messages too"`
 
--- a/internal/commander/exit.go
+++ b/internal/commander/exit.go
@@ -14,16 +14,17 @@
 	ExitUnreachable = 3
 )
 
-// ErrRefused is returned when an entry instance refused a command, or a check found faults.
+// ErrRefused is returned when an entry instance refused a command, a check found faults, or the requested information does
+// not exist.
 var ErrRefused = errors.New("refused")
 
-// ErrUsage is returned for invalid arguments or files.
+// ErrUsage is returned for invalid arguments or files, and when an entry instance cannot run.
 var ErrUsage = errors.New("usage error")
 
-// ErrUnreachable is returned when no entry instance responded.
+// ErrUnreachable is returned when no entry instance responded, or a response is incomplete.
 var ErrUnreachable = errors.New("unreachable")
 
-// exitCode prints err and returns its exit code.
+// exitCode prints err and returns its exit code, which is ExitUsage for an error of no other kind.
 func exitCode(err error, stderr io.Writer) int {
 	if err == nil {
 		return ExitDone
--- a/internal/commander/load.go
+++ b/internal/commander/load.go
@@ -17,9 +17,9 @@
 	Model        string        `long:"Model" required:"true" description:"name of the model"`
 	Requests     int           `long:"Requests" default:"100" description:"total number of requests"`
 	Concurrency  int           `long:"Concurrency" default:"8" description:"number of concurrent requests"`
-	PromptTokens int64         `long:"PromptTokens" default:"500" description:"mean prompt length in tokens"`
-	OutputTokens int64         `long:"OutputTokens" default:"50" description:"mean answer length in tokens"`
-	Swing        time.Duration `long:"Swing" default:"20s" description:"period in which the prompt-to-output ratio swings between half and double; 0 for none"`
+	PromptTokens int64         `long:"PromptTokens" default:"500" description:"mean prompt length in tokens, of 4 bytes each"`
+	OutputTokens int64         `long:"OutputTokens" default:"50" description:"mean limit on the number of output tokens of a request"`
+	Swing        time.Duration `long:"Swing" default:"20s" description:"period in which the prompt length swings between half and double while the output limit swings inversely; 0 for none"`
 	Prefixes     int           `long:"Prefixes" default:"10" description:"number of different prompt prefixes"`
 	Seed         uint64        `long:"Seed" default:"1" description:"random seed"`
 }
--- a/internal/commander/options.go
+++ b/internal/commander/options.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/networker"
 )
 
-// Environment holds the output streams, the HTTP client and the stop signal of a command.
+// Environment holds the output streams, the HTTP client and the stop signal of a command. If HTTP is nil, Run sets it.
 type Environment struct {
 	Stdout io.Writer
 	Stderr io.Writer
@@ -28,8 +28,8 @@
 // Site holds the flags of a command that calls entry instances.
 type Site struct {
 	Entries []string      `long:"Entry" value-name:"URL" required:"true" description:"URL of an entry instance, such as http://127.0.0.1:8101; may be given several times"`
-	Timeout time.Duration `long:"Timeout" default:"15s" description:"how long to wait for a response"`
-	JSON    bool          `long:"Json" description:"print JSON"`
+	Timeout time.Duration `long:"Timeout" default:"15s" description:"time limit of a request including its response; for load, of the whole run"`
+	JSON    bool          `long:"Json" description:"print JSON; no effect on call and explain"`
 }
 
 // Operator holds the flag for the operators' key.
@@ -45,7 +45,7 @@
 	Entry     entryCommand   `command:"entry" description:"run an entry instance on the users' machines"`
 	Publish   publishCommand `command:"publish" description:"put an inventory and rules in force"`
 	Key       keyCommands    `command:"key" description:"grant or withdraw keys"`
-	Status    statusQuery    `command:"status" description:"show an entry instance, the members, the lease and the orders"`
+	Status    statusQuery    `command:"status" description:"show the state of an entry instance, the members, the lease and the orders"`
 	Inventory inventoryQuery `command:"inventory" description:"show the inventory and rules in force"`
 	Usage     usageQuery     `command:"usage" description:"show the usage that is not yet reported to the platform"`
 	Explain   explainQuery   `command:"explain" description:"show the routing decisions for a request"`
@@ -56,7 +56,7 @@
 	Hash      hashCommand    `command:"hash" description:"print the hash of a key for OperatorKeyHash"`
 	Ask       askCommand     `command:"ask" description:"send one chat completion and print the answer"`
 	Call      callCommand    `command:"call" description:"send one call to a plain service and print the answer"`
-	Load      loadCommand    `command:"load" description:"send a fixed number of requests with a varying prompt-to-output ratio"`
+	Load      loadCommand    `command:"load" description:"send a bounded number of requests with a varying prompt-to-output ratio"`
 }
 
 type keyCommands struct {
--- a/internal/commander/publish.go
+++ b/internal/commander/publish.go
@@ -14,8 +14,8 @@
 	Site      `group:"Site"`
 	Operator  `group:"Operator"`
 	Inventory string `long:"Inventory" value-name:"FILE" required:"true" description:"inventory of zones, teams and targets"`
-	Rules     string `long:"Rules" value-name:"FILE" required:"true" description:"promises, team rules, routes and scalings"`
-	Base      int64  `long:"Base" default:"-1" description:"version to replace; any other version in force is a conflict; -1 replaces the version in force"`
+	Rules     string `long:"Rules" value-name:"FILE" required:"true" description:"promise, team rules, routes and scalings"`
+	Base      int64  `long:"Base" default:"-1" description:"version to replace; any other version in force is a conflict; a negative number replaces the version in force"`
 
 	request server.PublishRequest
 }
--- a/internal/commander/query.go
+++ b/internal/commander/query.go
@@ -98,7 +98,7 @@
 	} `positional-args:"true"`
 }
 
-// run queries each entry instance, because only the one that served the request keeps its decisions.
+// run queries the entry instances one by one, because only the one that served the request keeps its decisions.
 func (q *explainQuery) run(env *Environment) error {
 	var response struct{ Decisions []string }
 	lastErr := fmt.Errorf("%w: no entry instance has a decision for the request", ErrRefused)
