--- a/internal/commander/help.go
+++ b/internal/commander/help.go
@@ -18,7 +18,7 @@
 	"inventory": "Shows the targets, teams and key ids in force; with --Json also the availability zones and rules.\n\nExample: coltsfootscale inventory --Entry http://127.0.0.1:8101 --OperatorKeyFile operator.key --Json",
 	"usage":     "Shows the open usage window and the closed ones that are not yet reported.\n\nExample: coltsfootscale usage --Entry http://127.0.0.1:8101 --OperatorKeyFile operator.key",
 	"explain":   "Shows the routing decisions that the entry instances keep for a request.\n\nExample: coltsfootscale explain --Entry http://127.0.0.1:8101 --OperatorKeyFile operator.key 0b9d7c1e-5c1b-4f0e-9f54-0a8a4c7c2d11",
-	"trace":     "Shows the path of a request from the logs of the entry instances: how it ended and why, the decisions, and what the instance knew of the targets, the configuration, the store and its peers.\n\nExample: coltsfootscale trace --Logs front-a-1.log --Logs front-a-2.log 62f983e0882fc5d0",
+	"trace":     "Shows the path of a request from the logs of instances that the entry command runs: how it ended and why, the decisions, and what the instance knew of the targets, the configuration, the store and its peers.\n\nExample: coltsfootscale trace --Logs front-a-1.log --Logs front-a-2.log 62f983e0882fc5d0",
 	"version":   "Prints the version, the commit and the Go version.\n\nExample: coltsfootscale version",
 	"addresses": "Shows the ranked entry addresses for an availability zone.\n\nExample: coltsfootscale addresses --Entry http://127.0.0.1:8101 --AvailabilityZone seoul-a",
 	"check":     "Reports all faults of the given files in one run.\n\nExample: coltsfootscale check --Settings entry-a.ini --EntrySettings entry.ini --Inventory inventory.ini --Rules rules.ini",
--- a/internal/commander/trace.go
+++ b/internal/commander/trace.go
@@ -11,7 +11,7 @@
 
 type traceQuery struct {
 	deferred
-	Logs       []string `long:"Logs" value-name:"FILE" required:"true" description:"log of an entry instance, or - for standard input; may be given several times"`
+	Logs       []string `long:"Logs" value-name:"FILE" required:"true" description:"log of an instance that the entry command runs, or - for standard input; may be given several times"`
 	Positional struct {
 		RequestID string `positional-arg-name:"REQUEST-ID" required:"true"`
 	} `positional-args:"true"`
