--- a/internal/leaseholder/leaseholder.go
+++ b/internal/leaseholder/leaseholder.go
@@ -22,7 +22,7 @@
 const (
 	// renewalsPerLease sets when a renewal is due: once 1/renewalsPerLease of the lease has passed.
 	renewalsPerLease = 4
-	// pollsPerLease is how many times per lease the holder checks whether to renew or claim.
+	// pollsPerLease is how many times per lease duration the holder checks whether to renew or claim.
 	pollsPerLease = 20
 )
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// observe returns the lease from the fold and records when its latest claim or renewal was first seen here. It ends
-// this holder's authority once the lease has another fencing number.
+// observe returns the lease as folded from the log and records when its latest claim or renewal was first seen here. It
+// ends the lease locally once the log has it under another fencing number.
 func (h *Holder) observe() *recorder.Lease {
 	var lease *recorder.Lease
 	h.Control.Query(func() { lease = h.Fold.Lease(h.Scope) })
@@ -148,7 +148,8 @@
 	h.Logger.Info("lease claimed", zap.String("Scope", h.Scope), zap.Uint64("Fence", current.Fence))
 }
 
-// renew appends a renewal or a release and extends or ends this holder's lease accordingly.
+// renew appends a renewal, or a release if release is set. It extends the lease locally after a renewal, and ends it
+// after a release or if another claim came first.
 func (h *Holder) renew(ctx context.Context, release bool) {
 	h.mu.Lock()
 	fence := h.fence
@@ -169,7 +170,7 @@
 }
 
 // release ends the lease locally before it appends the release, so that nothing is sent under a lease that another
-// instance may already claim.
+// instance may have claimed already.
 func (h *Holder) release() {
 	if _, _, err := h.Authority(); err != nil {
 		return
--- a/internal/leaseholder/leaseholder_test.go
+++ b/internal/leaseholder/leaseholder_test.go
@@ -22,8 +22,9 @@
 
 const lease = 3 * time.Second
 
-// runContenders runs three holders and cuts each in turn off the platform. It returns at how many checks more than
-// one of them held the lease, and how many fencing numbers were seen. All but the first use contenderLease.
+// runContenders runs three holders, of which all but the first use contenderLease, and partitions each in turn from the
+// platform. It returns the number of checks at which more than one of them held the lease, and the number of fencing
+// numbers seen.
 func runContenders(t *testing.T, contenderLease time.Duration) (overlaps, fences int) {
 	synctest.Test(t, func(t *testing.T) {
 		var network imitator.Network
@@ -83,6 +84,8 @@
 	return overlaps, fences
 }
 
+// TestOneHolderAtATime checks that at most one holder has the lease at a time while each in turn cannot reach the
+// platform. A run with contenders that claim too early shows that the check finds overlaps.
 func TestOneHolderAtATime(t *testing.T) {
 	early, _ := runContenders(t, time.Second)
 	quicktest.Check(t, early > 0, quicktest.IsTrue, quicktest.Commentf("contenders that claim before the lease expires overlap with its holder"))
