--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -185,8 +185,8 @@
 	return &recorder.Record{ID: uuid.NewString(), Writer: string(t.Writer)}
 }
 
-// Append appends records and returns the offset of the first once all were read back. It repeats the call until then,
-// or until the platform refuses it or ctx ends; with ErrUnconfirmed the records may still take effect.
+// Append appends records and returns the offset of the first once all were read back. It retries until then, or until
+// the platform refuses the records or ctx ends; with ErrUnconfirmed they may still take effect.
 func (t *Tailer) Append(ctx context.Context, records ...*recorder.Record) (identifier.Offset, error) {
 	data := make([][]byte, len(records))
 	waits := make([]*readBack, len(records))
@@ -270,8 +270,8 @@
 	}
 }
 
-// step reads one page and applies it. It bootstraps from a checkpoint at first, and when the log was truncated beyond
-// the next offset.
+// step reads one page and applies it. It bootstraps instead until the fold has caught up, and when the log was truncated
+// beyond the next offset.
 func (t *Tailer) step(ctx context.Context) error {
 	t.mu.Lock()
 	from, caughtUp := t.Fold.Next(), t.caughtUp
