--- a/internal/committer/committer.go
+++ b/internal/committer/committer.go
@@ -24,7 +24,7 @@
 const (
 	// queueLength is the number of records that may wait for an append.
 	queueLength = 4096
-	// defaultBatch is the maximum number of records in one append if New is given none.
+	// defaultBatch is the maximum number of records in one append if New is called with zero.
 	defaultBatch = 256
 )
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// Commit queues a record for the next batch and returns once it was read back, or with the error of its append. ErrFull
-// means that it was not appended.
+// Commit queues a record for the next batch and returns once it was read back, or with the error of its append. The
+// record was not appended if the error is ErrFull, and may still take effect if it is ErrUnconfirmed.
 func (c *Committer) Commit(ctx context.Context, r *recorder.Record) error {
 	w := &commit{ctx: ctx, record: r, done: make(chan error, 1)}
 	select {
@@ -95,7 +95,7 @@
 	}
 }
 
-// gather returns a batch of the first commit and those already queued, without any whose context has ended.
+// gather returns a batch of the first commit and those already queued, without the ones whose context has ended.
 func (c *Committer) gather(first *commit) []*commit {
 	batch := []*commit{first}
 	for len(batch) < c.batch {
--- a/internal/committer/committer_test.go
+++ b/internal/committer/committer_test.go
@@ -70,7 +70,8 @@
 }
 
 // TestGroupCommit logs appends per second and commit latency by load and batch size, in virtual time. With the largest
-// batch, only one append may run at a time and the latency must stay within three times that of an append.
+// batch, only one append may run at a time and the 95th percentile of the latency must stay within three times the
+// latency of an append.
 func TestGroupCommit(t *testing.T) {
 	const latency = 10 * time.Millisecond
 	for _, perSecond := range []int{21, 300, 2000} {
