--- a/internal/accounter/fold.go
+++ b/internal/accounter/fold.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// keptReportedWindows is the number of latest windows that are kept after they were reported.
+	// keptReportedWindows is the number of latest closed windows that are kept after they were reported.
 	keptReportedWindows = 64
 )
 
@@ -125,7 +125,7 @@
 	f.state.Window++
 }
 
-// markReported marks a closed window as reported and drops old reported windows.
+// markReported marks a closed window as reported, and drops the reported windows before the keptReportedWindows latest.
 func (f *Fold) markReported(window uint64) {
 	w := f.state.Closed[window]
 	if w == nil {
@@ -153,7 +153,7 @@
 	t.OutputTokens += u.OutputTokens
 }
 
-// Excess returns by how much u exceeds the usage already counted, or nil if it does not.
+// Excess returns by how much u exceeds the usage already counted, or nil if no count is higher.
 func Excess(u, counted *recorder.TeamUsage) *recorder.TeamUsage {
 	excess := &recorder.TeamUsage{
 		Team:         u.Team,
--- a/internal/accounter/mirror.go
+++ b/internal/accounter/mirror.go
@@ -7,7 +7,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// Mirror keeps copies of other instances' usage, to be appended to the log in place of an instance that stopped sending.
+// Mirror keeps copies of other instances' usage, to append them to the log in place of an instance that became silent.
 // The zero value is empty.
 type Mirror struct {
 	mu      sync.Mutex
