--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -16,10 +16,10 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// maximumSentWindows bounds the memory of sent windows, which only serves an assertion.
+// maximumSentWindows bounds the number of sent windows that are remembered, only for an assertion.
 const maximumSentWindows = 1024
 
-// Authority checks the lease under which reports are sent.
+// Authority runs send if the lease is held under the fencing number, and no longer than the lease lasts.
 type Authority interface {
 	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
 }
@@ -42,7 +42,7 @@
 	sent map[uint64]*recorder.Window
 }
 
-// Close fixes the figures of the open window at an offset of the Usage stream.
+// Close appends a close record, whose offset in the Usage stream fixes the figures of the open window.
 func (p *Reporter) Close(ctx context.Context) error {
 	var window uint64
 	p.Usage.Query(func() { window = p.Fold.Window() })
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -15,7 +15,8 @@
 const (
 	// windowInterval is the time between two checks for windows to close or report.
 	windowInterval = 250 * time.Millisecond
-	// closeDelay is the time from the end of a window until it is closed: peers send their counts within a few beats.
+	// closeDelay is the time from the end of a window until it is closed, in which the counts of peers arrive: they send
+	// them within a few gossip messages.
 	closeDelay = 2500 * time.Millisecond
 	// maximumReportedWindows is the number of windows that are remembered as reported.
 	maximumReportedWindows = 32
@@ -41,7 +42,7 @@
 	Length    time.Duration
 	// MaximumDelay is the time after its end within which a window may still be reported.
 	MaximumDelay time.Duration
-	// Now returns the time of day as the fleet agrees on it.
+	// Now returns the wall clock time on which all instances agree.
 	Now func() time.Time
 	// Total returns the requests of each team in a window so far.
 	Total  func(window int64) map[identifier.TeamID]uint64
@@ -64,6 +65,7 @@
 	}
 }
 
+// step closes and reports the windows that ended at least closeDelay and less than MaximumDelay ago.
 func (r *WindowReporter) step(ctx context.Context) {
 	now := r.Now()
 	newest := now.Add(-closeDelay).UnixMilli()/r.Length.Milliseconds() - 1
@@ -80,6 +82,8 @@
 	}
 }
 
+// report reports the figures of a window that the log holds, after closing the window if necessary. A window without
+// requests is not closed.
 func (r *WindowReporter) report(ctx context.Context, window int64) {
 	figures, closed := r.DutyLease.Closed()[window]
 	if !closed {
--- a/internal/reporter/windows_test.go
+++ b/internal/reporter/windows_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(8 * time.Second)
 		quicktest.Assert(t, p.reports[start], quicktest.DeepEquals, []elector.Figures{{"team": 10}})
 
-		// Counts that arrive later have no effect: the next holder too reports the figures of the close.
+		// Counts that arrive later have no effect: the next lease holder, too, reports the figures of the closed window.
 		count = 99
 		d.fence = 0
 		time.Sleep(time.Second)
