--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -18,7 +18,7 @@
 // retainedWindows is the number of windows that Prune keeps before the given one.
 const retainedWindows = 6
 
-// retainedChanges is the number of changes that are at least kept for peers: some seconds of a large fleet.
+// retainedChanges is the minimum number of latest changes kept for peers: those of some seconds in a large fleet.
 const retainedChanges = 4096
 
 // Counter holds the counts of all incarnations; the zero value is ready to use.
@@ -27,7 +27,7 @@
 type Counter struct {
 	mu     sync.Mutex
 	counts map[key]uint64
-	// changes are the keys of the last changed counts; the last one has the number next-1.
+	// changes are the keys of the latest changed counts; the last one has the number next-1.
 	changes []key
 	next    uint64
 }
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -10,7 +10,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// TestCopiesComeInAnyOrder merges the counts of three instances at a fourth, in any order and more than once.
+// TestCopiesComeInAnyOrder checks that each request counts exactly once when the counts of three instances are merged at
+// a fourth, in any order and more than once.
 func TestCopiesComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var total counter.Counter
@@ -38,7 +39,7 @@
 		got := total.Total(1)
 		for team, n := range want {
 			if got[team] != n {
-				t.Fatalf("team %s: %d of %d", team, got[team], n)
+				t.Fatalf("team %s: counted %d requests of %d", team, got[team], n)
 			}
 		}
 	})
