--- a/internal/journaler/doc.go
+++ b/internal/journaler/doc.go
@@ -1,3 +1,3 @@
-// Package journaler folds the Journal stream, which decides which instance may send a request that must run
-// at most once.
+// Package journaler folds the Journal stream, which decides which instance may send a request that must run at most
+// once.
 package journaler
--- a/internal/journaler/fold.go
+++ b/internal/journaler/fold.go
@@ -15,7 +15,7 @@
 // The first dispatch of a key in stream order wins, and only its writer may send the request.
 type Fold struct {
 	state recorder.JournalState
-	// byOffset lists the dispatched keys in the order in which they expire.
+	// byOffset lists the dispatched keys by offset, the order in which they expire.
 	byOffset []keyOffset
 }
 
@@ -76,7 +76,8 @@
 	f.byOffset = append(f.byOffset, keyOffset{key: d.Key, offset: uint64(offset)})
 }
 
-// result sets the result of a dispatch. A released dispatch was never sent, so its key may be dispatched again.
+// result sets the result of a dispatch. The request of a released dispatch was never sent, so its key may be dispatched
+// again.
 func (f *Fold) result(result *recorder.Result) {
 	e := f.state.Entries[result.Key]
 	if e == nil || e.DispatchID != result.DispatchID || e.Result != nil {
