--- a/internal/authorizer/fold.go
+++ b/internal/authorizer/fold.go
@@ -10,6 +10,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
+// maximumOrders is the number of orders above which closed ones are removed.
 const maximumOrders = 4096
 
 // Fold is the state folded from the Control stream. The zero value is the state before the first record.
@@ -61,7 +62,7 @@
 	return list
 }
 
-// Apply folds the record at offset into the state. Record types of other streams only advance Next.
+// Apply folds the record at offset into the state. Records of other streams' types only advance Next.
 func (f *Fold) Apply(offset identifier.Offset, r *recorder.Record) {
 	f.state.Next = uint64(offset) + 1
 	switch b := r.Body.(type) {
@@ -164,8 +165,8 @@
 	return list
 }
 
-// pruneClosed removes the oldest closed order if there are too many orders. It keeps the orders to targets that
-// do not check fencing numbers, because applyIntent needs them to reject a second order of the same kind.
+// pruneClosed removes the oldest closed order if there are more than maximumOrders. It keeps the orders to targets
+// that do not check fencing numbers, because applyIntent needs them to reject a second order of the same kind.
 func (f *Fold) pruneClosed() {
 	if len(f.state.Orders) <= maximumOrders {
 		return
--- a/internal/authorizer/history_test.go
+++ b/internal/authorizer/history_test.go
@@ -14,7 +14,7 @@
 )
 
 // claimInput is the input of a claim operation: the seen offset that the claim names. The output of the operation
-// is the fencing number that the claimant believes to hold afterwards, or 0.
+// is the fencing number under which the claimant believes it holds the lease afterwards, or 0.
 type claimInput struct{ seen uint64 }
 
 // leaseModel models a lease as a register. A claim is a compare-and-swap from the seen offset to its own fencing
