--- a/internal/configurator/fold.go
+++ b/internal/configurator/fold.go
@@ -14,6 +14,7 @@
 // ErrConflict is returned for a change that does not fit the state in force, such as one based on an older version.
 var ErrConflict = errors.New("conflict")
 
+// maximumVerdicts is the number of latest verdicts that are kept.
 const maximumVerdicts = 512
 
 // Fold is the state folded from the Config stream. The zero value is the state before the first record.
@@ -40,8 +41,8 @@
 	return proto.Clone(&f.state).(*recorder.ConfigState)
 }
 
-// Verdict returns whether a record was accepted, and why not. It returns nil for records that were not applied and
-// for those whose verdict is no longer kept.
+// Verdict returns whether a record was accepted, and if not, why. It returns nil for records that were not applied,
+// for Leave records, which get no verdict, and for records whose verdict is no longer kept.
 func (f *Fold) Verdict(recordID string) *recorder.Verdict {
 	for _, v := range f.state.Verdicts {
 		if v.RecordID == recordID {
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// Apply folds the record at offset into the state. Records that have a verdict already, and record types of other
-// streams, only advance Next.
+// Apply folds the record at offset into the state. Duplicates of records that have a verdict already, and records of
+// other streams' types, only advance Next.
 func (f *Fold) Apply(offset identifier.Offset, r *recorder.Record) {
 	f.state.Next = uint64(offset) + 1
 	if f.Verdict(r.ID) != nil {
--- a/internal/configurator/fold_test.go
+++ b/internal/configurator/fold_test.go
@@ -130,7 +130,7 @@
 	}
 	assumeSuccess := func(*configurator.Fold, string) bool { return true }
 	ok := porcupine.CheckOperationsTimeout(versionModel, racePublishes(1, assumeSuccess), 10*time.Second)
-	quicktest.Check(t, ok, quicktest.Equals, porcupine.Illegal, quicktest.Commentf("without the base check"))
+	quicktest.Check(t, ok, quicktest.Equals, porcupine.Illegal, quicktest.Commentf("operators that assume success"))
 }
 
 func FuzzApply(f *testing.F) {
--- a/internal/configurator/view.go
+++ b/internal/configurator/view.go
@@ -9,9 +9,10 @@
 
 // View is an immutable configuration, indexed for look-ups on the request path.
 type View struct {
-	State    *recorder.ConfigState
-	keys     map[identifier.KeyHash]identifier.TeamID
-	rules    map[identifier.TeamID]*recorder.TeamRule
+	State *recorder.ConfigState
+	keys  map[identifier.KeyHash]identifier.TeamID
+	rules map[identifier.TeamID]*recorder.TeamRule
+	// allowed holds the targets that a team's rule lists; reserved holds the targets that any rule lists.
 	allowed  map[identifier.TeamID]map[identifier.TargetID]bool
 	reserved map[identifier.TargetID]bool
 	models   map[identifier.ModelID]bool
@@ -66,7 +67,8 @@
 	return team, ok
 }
 
-// Weight returns the product of a team's priority and cost share, which is always positive, or 1 without a rule.
+// Weight returns the product of a team's priority, at least 1, and its cost share, at least 0.001. It returns 1 for a
+// team without a rule.
 func (v *View) Weight(team identifier.TeamID) float64 {
 	r := v.rules[team]
 	if r == nil {
