--- a/internal/arbiter/rule.go
+++ b/internal/arbiter/rule.go
@@ -17,30 +17,32 @@
 // An instance serves until the bound has passed since its configuration was last known to be complete: by its own read
 // of the log, by a peer at the same offset that had read the log, or, where no instance reaches the log, by the replies
 // of a majority of the members, none of which was ahead, that is, at a later offset. Any two majorities share a member.
-// So at least one member that replied had either seen an accepted change already and was ahead, or acknowledged it after
-// its reply, and the change then waits for the bound.
+// So at least one member that replied either had the accepted change already, and was ahead, or acknowledged it only
+// after its reply; the change then waits for the bound.
 
 // Member is an instance's latest knowledge of one member.
 type Member struct {
 	ID   identifier.InstanceID
 	Self bool
-	// SentAt is when the request was sent to which the member last replied.
+	// SentAt is when the last request that the member answered was sent, or zero if there is none.
 	SentAt time.Time
-	// Next is the offset after the last record of the configuration that the member has applied.
+	// Next is the offset after the last record of the Config stream that the member has applied.
 	Next identifier.Offset
-	// Voting is true once the member has itself read the log since its start, because its earlier acknowledgements are
-	// lost with its memory.
+	// Voting is true once the member itself has read the log since its start, because a restart loses what an earlier
+	// incarnation acknowledged.
 	Voting bool
-	// Gone is true if the member's process is taken to have ended: the platform no longer lists it, or another incarnation
-	// replies at its address.
+	// Gone is true if the member's process is taken to have ended: the platform no longer lists it and it does not answer,
+	// or another incarnation replies at its address.
 	Gone bool
 }
 
 // View is an instance's knowledge of its own configuration and of the members, the input of ServeUntil.
 type View struct {
 	// Joined is true if the instance is a member.
-	Joined  bool
-	Next    identifier.Offset
+	Joined bool
+	// Next is the offset after the last record of the Config stream that the instance has applied.
+	Next identifier.Offset
+	// FreshAt is when the configuration was last known to be complete.
 	FreshAt time.Time
 	Members []Member
 }
@@ -60,8 +62,8 @@
 	return freshAt.Add(bound)
 }
 
-// majorityFreshAt returns the latest instant at which no voting member of some majority was ahead, or the zero time if
-// any member is ahead or too few have replied.
+// majorityFreshAt returns the latest instant at which a majority of the members was known not to be ahead, or the zero
+// time if any member is ahead or too few voting members have replied.
 func majorityFreshAt(now time.Time, v View) time.Time {
 	var sentAt []time.Time
 	for _, m := range v.Members {
@@ -115,7 +117,7 @@
 	return now.Sub(a.majorityAt) >= wait
 }
 
-// countHolding counts the members that hold the record at offset. Members that are gone count too, as they do not serve.
+// countHolding counts the voting members that hold the record at offset, and those that are gone, as they do not serve.
 func countHolding(offset identifier.Offset, members []Member) int {
 	n := 0
 	for _, m := range members {
