--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -30,9 +30,11 @@
 	// LocalHeartbeat returns this instance's heartbeat.
 	LocalHeartbeat func() *messenger.Heartbeat
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// received holds the last heartbeat of each instance.
 	received map[string]received
-	gone     map[string]bool
+	// gone holds the instances whose process is taken to have ended.
+	gone map[string]bool
 	// firstSeen holds when each incarnation was first seen as a member.
 	firstSeen map[string]time.Time
 }
@@ -43,7 +45,7 @@
 	sentAt time.Time
 }
 
-// Run exchanges heartbeats with all other members until ctx ends. A member whose previous exchange is
+// Run exchanges heartbeats with all other members at every Interval until ctx ends. A member whose previous exchange is
 // still running is skipped.
 func (o *Observer) Run(ctx context.Context) {
 	ticker := time.NewTicker(o.Interval)
@@ -108,8 +110,9 @@
 	o.received[heartbeat.Instance] = received{heartbeat: heartbeat, sentAt: sentAt}
 }
 
-// syncConfig uses a peer's heartbeat to keep the configuration fresh. If the peer is at the same offset, it confirms
-// the configuration; if the peer is ahead and the log is unreachable, it adopts the peer's configuration.
+// syncConfig uses a peer's heartbeat to keep the configuration fresh. If the peer is at the same offset, this instance's
+// configuration was complete whenever the peer's was. If the peer is ahead and the log is unreachable, its configuration
+// is installed here.
 func (o *Observer) syncConfig(ctx context.Context, m *recorder.Member, heartbeat *messenger.Heartbeat, sentAt time.Time) {
 	next := identifier.Offset(heartbeat.ConfigNext)
 	freshAt := sentAt.Add(-time.Duration(heartbeat.FreshAgeMilliseconds) * time.Millisecond)
@@ -130,7 +133,7 @@
 	o.Config.InstallSnapshot(identifier.Offset(reply.Checkpoint.Next), reply.Checkpoint.State, sentAt.Add(-age))
 }
 
-// SetGone replaces the set of members that the platform no longer lists.
+// SetGone replaces the set of instances that the platform no longer lists and that are taken to have ended.
 func (o *Observer) SetGone(gone map[string]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -178,7 +181,7 @@
 	return o.firstSeen[incarnation]
 }
 
-// RecentHeartbeats returns copies of the last heartbeats, without those older than age.
+// RecentHeartbeats returns copies of the last heartbeats that are at most age old.
 func (o *Observer) RecentHeartbeats(age time.Duration) []*messenger.Heartbeat {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -191,7 +194,7 @@
 	return list
 }
 
-// Hears returns the instances whose last heartbeat is not older than age.
+// Hears returns the instances whose last heartbeat is at most age old.
 func (o *Observer) Hears(age time.Duration) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
