--- a/internal/administrator/administrator.go
+++ b/internal/administrator/administrator.go
@@ -16,9 +16,11 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrNotInForce is returned when a change was accepted but was not known to be in force everywhere in time.
+// ErrNotInForce is returned when a change was accepted, but the context ended before the change was known to be in force
+// everywhere.
 var ErrNotInForce = errors.New("not yet known to be in force everywhere")
 
+// pollInterval is the time between two checks whether a change is in force.
 const pollInterval = 20 * time.Millisecond
 
 // Administrator appends changes to the Config stream; all exported fields must be set.
--- a/internal/administrator/membership.go
+++ b/internal/administrator/membership.go
@@ -17,9 +17,10 @@
 // ErrNoMajority is returned when no majority of the members has acknowledged the membership in force.
 var ErrNoMajority = errors.New("no majority holds the membership in force")
 
+// membershipTimeout limits one membership change.
 const membershipTimeout = 5 * time.Second
 
-// Join adds a member; ErrConflict means that another change came first.
+// Join adds a member; configurator.ErrConflict means that another change came first.
 func (a *Administrator) Join(ctx context.Context, m *recorder.Member) error {
 	version, err := a.acknowledgedVersion()
 	if err != nil {
@@ -30,7 +31,7 @@
 	return a.changeMembers(ctx, r)
 }
 
-// Evict removes an incarnation from the membership; ErrConflict means that another change came first.
+// Evict removes an incarnation from the membership; configurator.ErrConflict means that another change came first.
 func (a *Administrator) Evict(ctx context.Context, instance, incarnation string) error {
 	version, err := a.acknowledgedVersion()
 	if err != nil {
