--- a/internal/commander/query.go
+++ b/internal/commander/query.go
@@ -75,7 +75,7 @@
 type usageQuery struct{ operatorQuery }
 
 func (q *usageQuery) run(env *Environment) error {
-	var a runner.UsageAnswer
+	var a runner.UsageResponse
 	if err := q.get(env, "/operator/usage", &a); err != nil {
 		return err
 	}
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -325,7 +325,7 @@
 func (e *Entry) handler() http.Handler {
 	s := &server.Server{
 		Relayer: e.relayer, Administrator: e.admin, Metrics: e.exporter, OperatorKeyHash: e.settings.OperatorKeyHash,
-		View: e.view.Load, Serving: e.serving, Addresses: e.addresses, Usage: e.usageAnswer, Explain: e.explain, Status: e.status,
+		View: e.view.Load, Serving: e.serving, Addresses: e.addresses, Usage: e.usageResponse, Explain: e.explain, Status: e.status,
 	}
 	return e.countInFlight(s.Handler())
 }
--- a/internal/runner/status.go
+++ b/internal/runner/status.go
@@ -8,7 +8,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Status is an entry instance's answer to /operator/status: its own state and its view of the fleet.
+// Status is an entry instance's response to /operator/status: its own state and its view of the fleet.
 type Status struct {
 	Instance     identifier.InstanceID
 	Zone         identifier.ZoneID
@@ -25,9 +25,9 @@
 	Orders       []*recorder.Order
 }
 
-// UsageAnswer is an entry instance's answer to /operator/usage: the usage of the open window as folded by this
+// UsageResponse is an entry instance's response to /operator/usage: the usage of the open window as folded by this
 // instance, and the closed windows that are not yet reported.
-type UsageAnswer struct {
+type UsageResponse struct {
 	Window     uint64
 	Teams      []*recorder.TeamUsage
 	Unreported []*recorder.Window
@@ -59,10 +59,10 @@
 	return s
 }
 
-func (e *Entry) usageAnswer() any {
-	var a UsageAnswer
+func (e *Entry) usageResponse() any {
+	var a UsageResponse
 	e.usage.Query(func() {
-		a = UsageAnswer{Window: e.usageFold.Window(), Teams: e.usageFold.Totals(), Unreported: e.usageFold.Unreported()}
+		a = UsageResponse{Window: e.usageFold.Window(), Teams: e.usageFold.Totals(), Unreported: e.usageFold.Unreported()}
 	})
 	return a
 }
