--- a/internal/runner/configuration_test.go
+++ b/internal/runner/configuration_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is isolated, and reports whether entry-c accepts the
-// key afterwards.
+// withdrawnKeyAccepted withdraws a key at entry-a while entry-c is isolated, and reports whether entry-c, with the given
+// freshness bound, accepts the key afterwards. Zero selects the default bound.
 func withdrawnKeyAccepted(t *testing.T, freshness time.Duration) (accepted bool) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.freshness = map[string]time.Duration{"entry-c": freshness}
--- a/internal/runner/constants.go
+++ b/internal/runner/constants.go
@@ -23,7 +23,7 @@
 
 const (
 	scopeFleet              = "Fleet"
-	joinRetryInterval       = 200 * time.Millisecond
+	membershipRetryInterval = 200 * time.Millisecond
 	listInterval            = time.Second
 	listTimeout             = time.Second
 	goneTimeout             = 30 * time.Second
@@ -31,19 +31,19 @@
 	evictionInterval        = time.Second
 	rejoinDelay             = 20 * time.Second
 	dutyInterval            = 250 * time.Millisecond
-	dutyTimeout             = 2 * time.Second
+	appendTimeout           = 2 * time.Second
 	checkpointInterval      = 10 * time.Second
 	checkpointRecords       = 2000
-	heartbeatMaximumAge     = 3 * time.Second
+	maximumHeartbeatAge     = 3 * time.Second
 	mirrorTimeout           = 500 * time.Millisecond
 	usageRetryInterval      = 50 * time.Millisecond
 	mirrorKeepAliveInterval = time.Second
 	originSilenceTimeout    = 5 * time.Second
 	takeoverInterval        = time.Second
 	leaveTimeout            = time.Second
-	finalFlushTimeout       = 10 * time.Second
-	sharesMaximumAge        = 100 * time.Millisecond
-	retryRatio              = 0.2
+	shutdownStepTimeout     = 10 * time.Second
+	maximumSharesAge        = 100 * time.Millisecond
+	retryShare              = 0.2
 	retryBurst              = 20
 	metricsInterval         = time.Second
 	idleTimeout             = 2 * time.Minute
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -59,7 +59,7 @@
 //	peers <--heartbeats (offsets, rates)--> observer --> freshness, fair shares, acceptance of changes
 //	lease holder --> placement and orders, usage windows and reports, checkpoints, evictions
 
-// Entry is one entry instance; use New.
+// Entry is one entry instance; New creates one.
 type Entry struct {
 	settings        *parser.Settings
 	network         networker.Network
@@ -189,7 +189,7 @@
 	e.ledger.Origin = e.origin()
 	e.relayer = &relayer.Relayer{
 		Zone: e.settings.Zone, Limits: e.settings.Limits, Tracker: e.tracker, Ledger: &e.ledger, Meter: &e.meter,
-		Budget: &retrier.Budget{Share: retryRatio, Burst: retryBurst}, Journal: relayerJournal{e},
+		Budget: &retrier.Budget{Share: retryShare, Burst: retryBurst}, Journal: relayerJournal{e},
 		Logger: e.logger, HTTP: e.http, NoKeepAliveHTTP: e.noKeepAliveHTTP, View: e.view.Load, Serving: e.serving, Share: e.share,
 	}
 }
@@ -343,9 +343,9 @@
 	sleeper.Sleep(ctx, e.settings.Timing.AddressLifetime+4*e.settings.Timing.Heartbeat)
 }
 
-// evictSelf removes this instance from the members; it retries until it succeeds or times out.
+// evictSelf removes this instance from the members. It retries until that succeeds or shutdownStepTimeout has passed.
 func (e *Entry) evictSelf(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finalFlushTimeout)
+	ctx, cancel := context.WithTimeout(ctx, shutdownStepTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		err := e.admin.Evict(ctx, e.member.Instance, e.member.Incarnation)
@@ -355,11 +355,11 @@
 		if _, ok := e.view.Load().State.GetMembers()[e.member.Instance]; !ok {
 			return
 		}
-		sleeper.Sleep(ctx, joinRetryInterval)
+		sleeper.Sleep(ctx, membershipRetryInterval)
 	}
 }
 
-// runEvents passes changes of targets, members and roles to the tracker.
+// runEvents passes the targets, the number of members and the engine roles to the tracker when they change.
 func (e *Entry) runEvents(ctx context.Context) {
 	for {
 		events, err := e.pendingEvents.Wait(ctx)
--- a/internal/runner/duties.go
+++ b/internal/runner/duties.go
@@ -23,7 +23,7 @@
 		}
 		if raised != fence {
 			if err := e.orderer.RaiseFence(ctx, fence, e.fenceCheckingTargets()); err != nil {
-				e.logger.Info("fencing number not raised at all targets", zap.Error(err))
+				e.logger.Info("fencing number not raised at some targets", zap.Error(err))
 			}
 			raised = fence
 		}
@@ -44,7 +44,7 @@
 	return list
 }
 
-// runReports closes a usage window at each interval and reports the closed windows to the platform.
+// runReports closes the usage window once per Timing.Window and reports the closed windows to the platform.
 func (e *Entry) runReports(ctx context.Context) {
 	var closedAt time.Time
 	every(ctx, dutyInterval, func(ctx context.Context) {
@@ -93,7 +93,7 @@
 }
 
 func (e *Entry) checkpoint(ctx context.Context, t *tailer.Tailer) bool {
-	ctx, cancel := context.WithTimeout(ctx, dutyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	err := t.AppendCheckpoint(ctx)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return err == nil
 }
 
-// fleet returns the targets in the inventory and the targets acquired from the platform.
+// fleet returns the targets in the inventory and those acquired from the platform.
 func (e *Entry) fleet() []*recorder.Target {
 	var acquired []*recorder.Target
 	e.control.Query(func() { acquired = e.controlFold.Acquired() })
--- a/internal/runner/journal.go
+++ b/internal/runner/journal.go
@@ -9,8 +9,8 @@
 // relayerJournal gives the relayer access to the journal.
 type relayerJournal struct{ e *Entry }
 
-// Ready reports whether dispatches can be recorded now: the log is reachable and the journal has caught
-// up with it once.
+// Ready reports whether dispatches can be recorded now: the last read of the journal's stream succeeded, and the stream
+// has been read to its end at least once.
 func (j relayerJournal) Ready() bool { return j.e.journal.CaughtUp() && j.e.journal.Reachable() }
 
 // Entry returns the journal entry of an idempotency key, or nil.
--- a/internal/runner/leaving_test.go
+++ b/internal/runner/leaving_test.go
@@ -99,9 +99,9 @@
 			c.Check((<-answers).complete, quicktest.IsTrue)
 			c.Check((<-lateAnswers).complete, quicktest.IsTrue)
 		}
-		v := s.engines["engine-a"].Counts()
-		c.Check(v.Started, quicktest.Equals, startedAfterNotice, quicktest.Commentf("new work two seconds after the engine announced that it leaves"))
-		c.Check(v.Cut, quicktest.Equals, 0)
+		counts := s.engines["engine-a"].Counts()
+		c.Check(counts.Started, quicktest.Equals, startedAfterNotice, quicktest.Commentf("new work two seconds after the engine announced that it leaves"))
+		c.Check(counts.Cut, quicktest.Equals, 0)
 	})
 }
 
--- a/internal/runner/membership.go
+++ b/internal/runner/membership.go
@@ -63,11 +63,12 @@
 	return now.Before(arbiter.ServeUntil(now, bound, v))
 }
 
-// runMembership joins the members and rejoins rejoinDelay after an eviction. Without the delay, an entry that the
-// lease holder can't reach would be evicted and rejoin again and again, and no change would come into force.
+// runMembership makes this incarnation a member and, after an eviction, waits for rejoinDelay before it joins again.
+// Without the delay, an entry that the lease holder does not reach would be evicted and rejoin again and again, and no
+// change would come into force.
 func (e *Entry) runMembership(ctx context.Context) {
 	var memberAt time.Time
-	every(ctx, joinRetryInterval, func(ctx context.Context) {
+	every(ctx, membershipRetryInterval, func(ctx context.Context) {
 		if e.isMember() {
 			memberAt = time.Now()
 			return
@@ -78,7 +79,7 @@
 		}
 		if err := e.admin.Join(ctx, e.member); err != nil {
 			e.logger.Debug("join failed", zap.Error(err))
-			sleeper.Sleep(ctx, rand.N(joinRetryInterval))
+			sleeper.Sleep(ctx, rand.N(membershipRetryInterval))
 		}
 	})
 }
@@ -104,7 +105,7 @@
 	})
 }
 
-// gone returns the absent members, which the platform does not list and which have not answered a heartbeat within
+// gone returns the absent members: those that the platform does not list and that have not answered a heartbeat within
 // goneTimeout. The value is true for members that have been absent for at least goneTimeout.
 func (e *Entry) gone(listed map[string]bool, absentSince map[string]time.Time) map[string]bool {
 	gone := map[string]bool{}
@@ -174,13 +175,14 @@
 	maps.DeleteFunc(lastSeen, func(id string, _ time.Time) bool { return members[id] == nil })
 }
 
-// addresses returns the entries that accept callers, those in the caller's availability zone first.
+// addresses returns the entries that accept callers, in random order, with those in the given availability zone first.
+// An empty zone stands for the zone of this instance.
 func (e *Entry) addresses(zone identifier.ZoneID) caller.Addresses {
 	if zone == "" {
 		zone = e.settings.Zone
 	}
 	leaving := map[string]bool{e.member.Instance: e.leaving.Load()}
-	for _, heartbeat := range e.observer.RecentHeartbeats(heartbeatMaximumAge) {
+	for _, heartbeat := range e.observer.RecentHeartbeats(maximumHeartbeatAge) {
 		leaving[heartbeat.Instance] = heartbeat.Leaving
 	}
 	var sameZone, otherZones []caller.Address
--- a/internal/runner/path_test.go
+++ b/internal/runner/path_test.go
@@ -53,17 +53,17 @@
 			status            int
 			code              refuser.Code
 		}{
-			"no key":         {http.MethodPost, "/v1/chat/completions", "", prompt("x", 1, true), http.StatusUnauthorized, refuser.CodeUnauthorized},
-			"wrong key":      {http.MethodPost, "/v1/chat/completions", "other", prompt("x", 1, true), http.StatusUnauthorized, refuser.CodeUnauthorized},
-			"not JSON":       {http.MethodPost, "/v1/chat/completions", "secret", []byte("{"), http.StatusBadRequest, refuser.CodeMalformed},
-			"no messages":    {http.MethodPost, "/v1/chat/completions", "secret", []byte(`{"model":"menu-7b"}`), http.StatusBadRequest, refuser.CodeMalformed},
-			"negative limit": {http.MethodPost, "/v1/chat/completions", "secret", prompt("x", -1, true), http.StatusBadRequest, refuser.CodeMalformed},
-			"unknown model":  {http.MethodPost, "/v1/chat/completions", "secret", []byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`), http.StatusNotFound, refuser.CodeUnknownModel},
-			"too large":      {http.MethodPost, "/v1/chat/completions", "secret", []byte(strings.Repeat("x", 9<<20)), http.StatusRequestEntityTooLarge, refuser.CodeTooLarge},
-			"unknown route":  {http.MethodPost, "/nowhere", "secret", nil, http.StatusNotFound, refuser.CodeUnknownRoute},
-			"other team":     {http.MethodPost, "/private", "secret", nil, http.StatusForbidden, refuser.CodeForbidden},
-			"no operator":    {http.MethodGet, "/operator/status", "secret", nil, http.StatusUnauthorized, refuser.CodeUnauthorized},
-			"open route":     {http.MethodGet, "/status", "", nil, http.StatusOK, ""},
+			"no key":          {http.MethodPost, "/v1/chat/completions", "", prompt("x", 1, true), http.StatusUnauthorized, refuser.CodeUnauthorized},
+			"wrong key":       {http.MethodPost, "/v1/chat/completions", "other", prompt("x", 1, true), http.StatusUnauthorized, refuser.CodeUnauthorized},
+			"not JSON":        {http.MethodPost, "/v1/chat/completions", "secret", []byte("{"), http.StatusBadRequest, refuser.CodeMalformed},
+			"no messages":     {http.MethodPost, "/v1/chat/completions", "secret", []byte(`{"model":"menu-7b"}`), http.StatusBadRequest, refuser.CodeMalformed},
+			"negative limit":  {http.MethodPost, "/v1/chat/completions", "secret", prompt("x", -1, true), http.StatusBadRequest, refuser.CodeMalformed},
+			"unknown model":   {http.MethodPost, "/v1/chat/completions", "secret", []byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`), http.StatusNotFound, refuser.CodeUnknownModel},
+			"too large":       {http.MethodPost, "/v1/chat/completions", "secret", []byte(strings.Repeat("x", 9<<20)), http.StatusRequestEntityTooLarge, refuser.CodeTooLarge},
+			"unknown route":   {http.MethodPost, "/nowhere", "secret", nil, http.StatusNotFound, refuser.CodeUnknownRoute},
+			"other team":      {http.MethodPost, "/private", "secret", nil, http.StatusForbidden, refuser.CodeForbidden},
+			"not an operator": {http.MethodGet, "/operator/status", "secret", nil, http.StatusUnauthorized, refuser.CodeUnauthorized},
+			"open route":      {http.MethodGet, "/status", "", nil, http.StatusOK, ""},
 		} {
 			status, header, body := s.roundTrip("entry-a", tc.method, tc.path, tc.key, nil, tc.body)
 			quicktest.Check(t, status, quicktest.Equals, tc.status, quicktest.Commentf("%s: %s", name, body))
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -16,8 +16,8 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// placement is the lease holder's state between placement decisions. It holds the targets with an order in progress and
-// the time at which an order for a target was last refused.
+// placement is the lease holder's state between placement plans. inProgress holds the targets with an order in
+// progress, refusedAt the time at which an order for a target was last refused.
 type placement struct {
 	plannedAt  time.Time
 	models     map[identifier.ModelID]*modelPlacement
@@ -67,7 +67,7 @@
 	m.long.Output += weight * (short.Output - m.long.Output)
 }
 
-// demands returns each model's token rates, summed over all teams and entries.
+// demands returns each model's token rates, summed over all teams and entries and including refused requests.
 func (e *Entry) demands() map[identifier.ModelID]placer.Demand {
 	demands := map[identifier.ModelID]placer.Demand{}
 	for key, rate := range e.allRates() {
@@ -104,7 +104,7 @@
 	}
 }
 
-// roleEngines returns the engines as input of a role plan. An engine that does not check fencing numbers is not
+// roleEngines returns the engines as input of PlanRoles. An engine that does not check fencing numbers is not
 // orderable, because it must not get a second order.
 func (e *Entry) roleEngines(targets []*recorder.Target) []placer.Engine {
 	roles, draining := e.roles()
--- a/internal/runner/shares.go
+++ b/internal/runner/shares.go
@@ -9,7 +9,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// shares caches the teams' fair shares.
+// shares caches each team's cost and fair share on each model's engines.
 type shares struct {
 	mu         sync.Mutex
 	computedAt time.Time
@@ -21,7 +21,7 @@
 func (e *Entry) share(team identifier.TeamID, model identifier.ModelID) (rate, share float64) {
 	e.shares.mu.Lock()
 	defer e.shares.mu.Unlock()
-	if time.Since(e.shares.computedAt) >= sharesMaximumAge {
+	if time.Since(e.shares.computedAt) >= maximumSharesAge {
 		e.shares.team = e.computeShares()
 		e.shares.computedAt = time.Now()
 	}
@@ -35,7 +35,7 @@
 func (e *Entry) computeShares() map[limiter.RateKey]limiter.Demand {
 	byModel := map[identifier.ModelID]map[identifier.TeamID]limiter.Rate{}
 	for key, rate := range e.allRates() {
-		if key.Team == "" {
+		if key.Team == "" { // refused requests
 			continue
 		}
 		if byModel[key.Model] == nil {
@@ -68,7 +68,7 @@
 // allRates returns the token rates of this entry plus the rates in the recent heartbeats of the other entries.
 func (e *Entry) allRates() map[limiter.RateKey]limiter.Rate {
 	total := e.meter.Rates()
-	for _, heartbeat := range e.observer.RecentHeartbeats(heartbeatMaximumAge) {
+	for _, heartbeat := range e.observer.RecentHeartbeats(maximumHeartbeatAge) {
 		for _, r := range heartbeat.Rates {
 			key := limiter.RateKey{Team: identifier.TeamID(r.Team), Model: identifier.ModelID(r.Model)}
 			t := total[key]
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -131,7 +131,7 @@
 	go srv.Serve(lis)
 }
 
-// startEntry starts an entry in the availability zone that the last letter of its name gives.
+// startEntry starts an entry. The last letter of its name is the letter of its availability zone.
 func (s *site) startEntry(name string) *instance {
 	ini := fmt.Sprintf("[Instance]\nID = %s\nAvailabilityZone = zone-%s\nListen = 127.0.0.1:1\nPeerListen = 127.0.0.1:2\nPlatform = http://%s\nOperatorKeyHash = %s\n",
 		name, name[len(name)-1:], platformAddr, identifier.HashKey(operatorKey))
@@ -259,7 +259,7 @@
 	return s.callOperator(name, http.MethodDelete, "/keys/"+id, nil)
 }
 
-// prompt returns a chat completion for a distinct prompt.
+// prompt returns a chat completion request with text as its prompt and at most the given number of output tokens.
 func prompt(text string, tokens int64, stream bool) chatter.Request {
 	return chatter.Request{Model: model, Messages: []chatter.Message{{Role: "user", Content: text}}, MaxTokens: tokens, Stream: stream}
 }
--- a/internal/runner/soak_test.go
+++ b/internal/runner/soak_test.go
@@ -20,8 +20,8 @@
 )
 
 var (
-	soakSeed = flag.Uint64("soak.seed", 1, "first seed of the randomised runs")
-	soakRuns = flag.Int("soak.runs", 4, "number of randomised runs")
+	soakSeed = flag.Uint64("soak.seed", 1, "first seed of the randomized runs")
+	soakRuns = flag.Int("soak.runs", 4, "number of randomized runs")
 )
 
 const (
@@ -49,7 +49,7 @@
 CheapShare = 0.5
 `
 
-// soak is one randomised run. It records the results that callers got and checks them at the end.
+// soak is one randomized run. It records the results that callers got and checks them at the end.
 type soak struct {
 	*site
 	t      *testing.T
@@ -59,7 +59,7 @@
 	mu           sync.Mutex
 	activeFaults map[string]bool
 	finished     int
-	uncertain    int
+	uncertain    int // answers that were incomplete or without a response; their usage may be counted
 	runs         map[string][]refuser.Run
 	succeeded    map[string]int
 	group        sync.WaitGroup
@@ -139,7 +139,7 @@
 	}
 }
 
-// operators grants and withdraws keys and checks that each accepted change is in force at all entries.
+// operators grants and withdraws keys and checks after each accepted change that it is in force at all entries.
 func (k *soak) operators(end time.Time, r *rand.Rand) {
 	for n := 0; time.Now().Before(end); n++ {
 		id := fmt.Sprintf("key-%d", n)
@@ -245,7 +245,7 @@
 	return faults[k.r.IntN(len(faults))]
 }
 
-// exclusive applies a fault unless the same fault is active. It returns the function that ends the fault, or nil.
+// exclusive applies a fault and returns the function that ends it, or returns nil if the same fault is active already.
 func (k *soak) exclusive(name string, on, off func()) func() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -270,7 +270,8 @@
 	return k.exclusive("platform", func() { k.platform.SetFaults(f) }, func() { k.platform.SetFaults(imitator.PlatformFaults{}) })
 }
 
-// restart returns the end of a restart fault: it kills or gracefully stops the entry and starts its next incarnation.
+// restart returns a function that kills the entry or stops it gracefully and then starts its next incarnation. It
+// returns nil if a restart of the entry is already due.
 func (k *soak) restart(name string, kill bool) func() {
 	var old *instance
 	return k.exclusive("restart "+name, func() { old = k.entries[name] }, func() {
@@ -326,16 +327,16 @@
 	}
 	c.Check(service.KeysSeen, quicktest.Equals, 0)
 	for name, e := range k.engines {
-		v := e.Counts()
-		c.Check(v.KeysSeen, quicktest.Equals, 0, quicktest.Commentf(name))
-		c.Check(v.ConflictingOrders, quicktest.Equals, 0, quicktest.Commentf(name))
+		counts := e.Counts()
+		c.Check(counts.KeysSeen, quicktest.Equals, 0, quicktest.Commentf(name))
+		c.Check(counts.ConflictingOrders, quicktest.Equals, 0, quicktest.Commentf(name))
 	}
 }
 
 func (k *soak) checkPlatform(c *quicktest.C) {
-	v := k.platform.Counts()
-	c.Check(v.WrongReports, quicktest.Equals, 0)
-	c.Check(v.ConflictingOrders, quicktest.Equals, 0)
+	counts := k.platform.Counts()
+	c.Check(counts.WrongReports, quicktest.Equals, 0)
+	c.Check(counts.ConflictingOrders, quicktest.Equals, 0)
 }
 
 // checkUsage compares the usage reports with the answers that callers got: each finished answer must be counted once;
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -60,8 +60,8 @@
 	return err == nil
 }
 
-// mirrorPeers returns the other members in order of preference: members that are neither silent nor leaving come first;
-// among equals, members of other zones come first, then the lowest id.
+// mirrorPeers returns the other members in order of preference: members that are neither silent nor leaving before the
+// rest, then members of other zones before those of this zone, then by id.
 func (e *Entry) mirrorPeers() []*recorder.Member {
 	var list []*recorder.Member
 	for id, m := range e.view.Load().State.GetMembers() {
@@ -112,7 +112,7 @@
 }
 
 func (e *Entry) appendDelta(ctx context.Context, d *recorder.UsageDelta) error {
-	ctx, cancel := context.WithTimeout(ctx, dutyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	r := e.usage.NewRecord()
 	r.Body = &recorder.Record_UsageDelta{UsageDelta: d}
@@ -122,7 +122,7 @@
 
 // flushUsage appends all remaining usage before the instance ends.
 func (e *Entry) flushUsage(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, finalFlushTimeout)
+	ctx, cancel := context.WithTimeout(ctx, shutdownStepTimeout)
 	defer cancel()
 	for ctx.Err() == nil && !e.appendUsage(ctx) {
 		sleeper.Sleep(ctx, usageRetryInterval)
--- a/internal/runner/usage_test.go
+++ b/internal/runner/usage_test.go
@@ -15,7 +15,7 @@
 )
 
 // reportedAfterKill finishes eight answers at an entry, kills it immediately afterwards, and returns how many of them
-// are finally reported.
+// are reported in the end. Unless mirrored is set, the entry cannot send copies of its usage to its peers.
 func reportedAfterKill(t *testing.T, mirrored bool) (requests int64) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startEntries("entry-a", "entry-b", "entry-c")
@@ -64,8 +64,8 @@
 		}
 		s.platform.SetFaults(imitator.PlatformFaults{})
 		time.Sleep(30 * time.Second)
-		v := s.platform.Counts()
-		c.Check(v.WrongReports, quicktest.Equals, 0)
+		counts := s.platform.Counts()
+		c.Check(counts.WrongReports, quicktest.Equals, 0)
 		sum, windows := s.reportedUsage()
 		c.Check(windows > 5, quicktest.IsTrue)
 		c.Check(sum["tabline"].Requests, quicktest.Equals, finished)
