--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,10 +23,12 @@
 	Serving func() bool
 	// Addresses returns the entry instances that accept callers, those in the caller's zone first.
 	Addresses func(zone identifier.ZoneID) caller.Addresses
-	Usage     func() any
-	// Explain returns the decision log lines kept for a request.
+	// Usage returns the response to /operator/usage.
+	Usage func() any
+	// Explain returns the retained decision log lines of a request.
 	Explain func(id identifier.RequestID) []string
-	Status  func() any
+	// Status returns the response to /operator/status.
+	Status func() any
 }
 
 // Handler returns the HTTP interface.
