--- a/internal/chatter/completion.go
+++ b/internal/chatter/completion.go
@@ -19,7 +19,8 @@
 	maximumOutputTokens = 1 << 20
 )
 
-// Headers of a request from an entry instance to an engine.
+// Headers between an entry instance and an engine. A response repeats the request ID; ResumeHeader holds the number of
+// the last event received, HandleHeader the handle of a KV cache to import.
 const (
 	RequestIDHeader = "X-Request-Id"
 	ResumeHeader    = "Last-Event-Id"
@@ -118,13 +119,13 @@
 // PartHashes returns a hash for each whole part of the prompt. A hash covers the model and the prompt up to the end of
 // its part, so prompts with a common prefix share the hashes of its parts.
 func (r Request) PartHashes() []uint64 {
-	const size = PartTokens * bytesPerToken
+	const partBytes = PartTokens * bytesPerToken
 	prompt := r.Prompt()
-	hashes := make([]uint64, 0, len(prompt)/size)
+	hashes := make([]uint64, 0, len(prompt)/partBytes)
 	d := xxhash.New()
 	d.WriteString(r.Model)
-	for ; len(prompt) >= size; prompt = prompt[size:] {
-		d.WriteString(prompt[:size])
+	for ; len(prompt) >= partBytes; prompt = prompt[partBytes:] {
+		d.WriteString(prompt[:partBytes])
 		hashes = append(hashes, d.Sum64())
 	}
 	return hashes
--- a/internal/chatter/event.go
+++ b/internal/chatter/event.go
@@ -14,7 +14,8 @@
 
 const maximumEventBytes = 1 << 20
 
-// Event is a server-sent event. Raw holds all its bytes, with the final blank line.
+// Event is a server-sent event. Number is its ID, zero if it has none, and Raw holds all its bytes, with the final blank
+// line.
 type Event struct {
 	Number int64
 	Data   []byte
