--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -23,12 +23,13 @@
 	warmUpSamples = 4
 )
 
-// Demand tracks the demand of all services; the zero value is ready to use.
+// Demand tracks the prefill demand of all services; the zero value is ready to use.
 type Demand struct {
 	mu       sync.Mutex
 	services map[identifier.ServiceID]*service
 }
 
+// service is the state of one service; rates are in tokens per second.
 type service struct {
 	local   float64
 	at      time.Time
