--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -2,14 +2,11 @@
 
 import (
 	"context"
-	"errors"
-	"maps"
 	"sync"
 	"time"
 
 	"go.uber.org/zap"
 
-	"github.com/coltsfootscale/coltsfootscale/internal/elector"
 	"github.com/coltsfootscale/coltsfootscale/internal/matcher"
 	"github.com/coltsfootscale/coltsfootscale/internal/placer"
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
@@ -17,213 +14,196 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// ErrRejected is returned when a target or the platform did not accept an order.
-var ErrRejected = errors.New("order rejected")
-
-// Order orders a target to change to a stage.
-type Order struct {
-	Stage  registrar.Stage
-	Holder string
-	Fence  identifier.Fence
-	// Expected is the number of orders that the target has accepted so far, so that a delayed duplicate has no effect.
-	Expected uint64
-}
-
-// ScaleOrder orders a number of targets of a service in an availability zone.
-type ScaleOrder struct {
-	Service identifier.ServiceID
-	Zone    identifier.ZoneID
-	Count   int
-	Cheap   bool
-}
-
-// Commander sends stage orders to targets.
-type Commander interface {
-	// Accepted returns the number of orders that the target has accepted.
-	Accepted(ctx context.Context, t *registrar.Target) (uint64, error)
-	Order(ctx context.Context, t *registrar.Target, o Order) error
-}
-
-// DutyLease holds the lease under which orders are sent.
-type DutyLease interface {
-	Authority() (identifier.Fence, error)
-	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
+// TargetPlatform accepts orders for numbers of targets.
+type TargetPlatform interface {
+	OrderTargets(ctx context.Context, fence identifier.Fence, o ScaleOrder) error
 }
 
 const (
-	// announceTime is how long it takes until the other instances know of an order.
-	announceTime = 30 * time.Millisecond
-	// stepInterval is the time between two checks of the stages.
-	stepInterval = 250 * time.Millisecond
-	// SettleTime is the time that an ordered target has to report its new stage before it is ordered again.
-	SettleTime = 6 * time.Second
-	// quietTime is how long the number of targets must be unchanged before the first orders, so that a fleet that starts,
-	// or is discovered gradually, is not rearranged more than once. All entries of a fleet arrive within one heartbeat.
-	quietTime = 700 * time.Millisecond
+	// scaleInterval is the time between two checks of the numbers of targets.
+	scaleInterval = 500 * time.Millisecond
+	// arrivalSlack is the time that ordered targets may take to become known, beyond their boot time.
+	arrivalSlack = 3 * time.Second
+	// refusedPause is how long an order is not repeated after it was refused, as when no target is available.
+	refusedPause = 2 * time.Second
 )
 
-// StageController controls the stages of all model targets; exported fields must be set.
-type StageController struct {
-	Holder    string
+// Scaler controls the number of targets of each service that can be scaled; exported fields must be set.
+type Scaler struct {
 	DutyLease DutyLease
-	Commander Commander
+	Platform  TargetPlatform
 	Table     func() *matcher.Table
 	Targets   func(service identifier.ServiceID) []*registrar.Target
-	// ScalingDown reports whether targets of a service are being withdrawn, which may include one in the decode stage.
-	ScalingDown func(service identifier.ServiceID) bool
-	// Announce reports Pending to the other instances at once.
-	Announce func()
-	Logger   *zap.Logger
-
-	mu        sync.Mutex
-	ordered   map[identifier.TargetID]sentOrder
-	heldSince time.Time
-	fenced    identifier.Fence
-	discovery discovery
+	// Serving returns the targets that accept new requests at the given time.
+	Serving func(service identifier.ServiceID, now time.Time) []*registrar.Target
+	// Load returns the highest recent demand for a service, in engines; zero if it is not known yet.
+	Load   func(service identifier.ServiceID) float64
+	Logger *zap.Logger
+
+	mu sync.Mutex
+	// scalingDown holds the services whose targets are being withdrawn.
+	scalingDown map[identifier.ServiceID]bool
+	sent        map[pool]lastOrder
+	// withdrawing holds the last withdrawal of each pool that still has the withdrawn targets.
+	withdrawing map[pool]lastOrder
+	discovery   discovery
 }
 
-// sentOrder is an order that the target's published entry may not show yet.
-type sentOrder struct {
-	stage registrar.Stage
-	at    time.Time
+// pool is the regular or the cheap targets of a service in one availability zone.
+type pool struct {
+	service identifier.ServiceID
+	zone    identifier.ZoneID
+	cheap   bool
 }
 
-// discovery tracks whether all targets that exist at the start are known.
-type discovery struct {
-	count     int
-	changedAt time.Time
-	complete  bool
+// lastOrder is the last order for a pool; the same order is not repeated before until.
+type lastOrder struct {
+	count int
+	until time.Time
 }
 
-// update records the number of targets and reports whether it has ever been unchanged for quietTime.
-func (d *discovery) update(count int, now time.Time) bool {
-	if count != d.count {
-		d.count, d.changedAt = count, now
-	}
-	d.complete = d.complete || count > 0 && now.Sub(d.changedAt) > quietTime
-	return d.complete
-}
-
-// Run orders stages while the lease is held, until ctx ends. A fencing number that was refused is not used again.
-func (k *StageController) Run(ctx context.Context) {
-	for sleeper.Sleep(ctx, stepInterval) == nil {
-		fence, err := k.DutyLease.Authority()
-		if err != nil || fence == k.fenced {
-			k.heldSince = time.Time{}
+// Run orders and withdraws targets while the lease is held, until ctx ends.
+func (s *Scaler) Run(ctx context.Context) {
+	for sleeper.Sleep(ctx, scaleInterval) == nil {
+		if _, err := s.DutyLease.Authority(); err != nil {
+			s.sent, s.withdrawing, s.discovery = nil, nil, discovery{}
 			continue
 		}
-		if k.heldSince.IsZero() {
-			k.heldSince = time.Now()
+		table := s.Table()
+		if table == nil {
+			continue
 		}
-		if table := k.Table(); table != nil {
-			k.arrangeAll(ctx, table)
+		for i := range table.Services {
+			if service := &table.Services[i]; service.Scaling != nil {
+				s.scale(ctx, service)
+			}
 		}
 	}
 }
 
-func (k *StageController) arrangeAll(ctx context.Context, table *matcher.Table) {
-	count := 0
-	for i := range table.Services {
-		if table.Services[i].Engine != nil {
-			count += len(k.Targets(table.Services[i].ID))
+// scale orders the targets that one service lacks, and withdraws surplus ones.
+func (s *Scaler) scale(ctx context.Context, service *matcher.Service) {
+	targets := s.Targets(service.ID)
+	discovered := s.discovery.update(len(targets), time.Now())
+	fleet := map[identifier.ZoneID]placer.ZoneFleet{}
+	for zone := range service.Scaling.Prices {
+		fleet[zone] = placer.ZoneFleet{Zone: zone}
+	}
+	for _, t := range targets {
+		z := fleet[t.Zone]
+		z.Zone = t.Zone
+		if t.Cheap {
+			z.Cheap++
+		} else {
+			z.Regular++
 		}
+		fleet[t.Zone] = z
+	}
+	input := placer.FleetInput{
+		Minimum: service.Scaling.Minimum, Maximum: service.Scaling.Maximum,
+		Load: s.Load(service.ID), CheapPriceFraction: service.Scaling.CheapPriceFraction,
+	}
+	for _, z := range fleet {
+		input.Zones = append(input.Zones, z)
 	}
-	if !k.discovery.update(count, time.Now()) {
-		return
+	scalingDown := false
+	for _, w := range placer.PlanFleet(input) {
+		have := fleet[w.Zone]
+		scalingDown = scalingDown || w.Cheap < have.Cheap || discovered && w.Regular < have.Regular
+		s.change(ctx, service, pool{service.ID, w.Zone, true}, have.Cheap, w.Cheap)
+		// No regular target is ordered or withdrawn before all existing targets are known.
+		if discovered {
+			s.change(ctx, service, pool{service.ID, w.Zone, false}, have.Regular, w.Regular)
+		}
 	}
-	for i := range table.Services {
-		if s := &table.Services[i]; s.Engine != nil {
-			k.arrange(ctx, s)
+	s.setScalingDown(service.ID, scalingDown)
+	for p, o := range s.withdrawing {
+		if have := fleet[p.zone]; p.service == service.ID && (count(have, p.cheap) <= o.count || time.Now().After(o.until)) {
+			delete(s.withdrawing, p)
 		}
 	}
 }
 
-// arrange orders the stage changes of one service's targets.
-func (k *StageController) arrange(ctx context.Context, s *matcher.Service) {
-	targets := k.Targets(s.ID)
-	byID := map[identifier.TargetID]*registrar.Target{}
-	var engines []placer.StageEngine
-	for _, t := range targets {
-		if t.Stage == registrar.AnyStage {
-			continue
+// change orders additional targets at once, but withdraws targets in one zone at a time, so that some in the decode stage
+// remain: the platform chooses which targets leave, and replacing them takes a change of stage.
+func (s *Scaler) change(ctx context.Context, service *matcher.Service, p pool, have, want int) {
+	if want < have {
+		if len(s.withdrawing) > 0 {
+			return
 		}
-		byID[t.ID] = t
-		e := placer.StageEngine{ID: t.ID, Zone: t.Zone, Stage: t.Stage, Cheap: t.Cheap}
-		// An order counts as carried out while the target still has time to report its new stage.
-		if p, ordered := k.settling(t.ID); ordered {
-			e.Stage, e.Busy = p.stage, true
+		withdrawn := have - want
+		if service.Engine != nil {
+			withdrawn = min(withdrawn, placer.MaximumWithdrawals(s.decoding(service.ID), p.zone, len(s.Targets(service.ID))))
 		}
-		engines = append(engines, e)
-	}
-	placer.SortEngines(engines)
-	wanted := placer.WantedDecodeEngines(len(engines))
-	if k.ScalingDown(s.ID) {
-		wanted = max(wanted, min(2, len(engines)-1))
+		if withdrawn == 0 {
+			return
+		}
+		want = have - withdrawn
 	}
-	changes := placer.PlanStages(engines, wanted)
-	var group sync.WaitGroup
-	for _, c := range changes {
-		group.Go(func() { k.order(ctx, byID[c.ID], c.Stage) })
+	if s.order(ctx, service, p, have, want) && want < have {
+		if s.withdrawing == nil {
+			s.withdrawing = map[pool]lastOrder{}
+		}
+		s.withdrawing[p] = s.sent[p]
 	}
-	group.Wait()
 }
 
-// Pending is an order sent within the last SettleTime.
-type Pending struct {
-	Target identifier.TargetID
-	Stage  registrar.Stage
-	Age    time.Duration
+// ScalingDown reports whether targets of a service are being withdrawn.
+func (s *Scaler) ScalingDown(service identifier.ServiceID) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.scalingDown[service]
 }
 
-// Pending returns the orders that the targets' published entries may not show yet.
-func (k *StageController) Pending() []Pending {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	var list []Pending
-	for id, p := range k.ordered {
-		if age := time.Since(p.at); age < SettleTime {
-			list = append(list, Pending{Target: id, Stage: p.stage, Age: age})
-		}
+func (s *Scaler) setScalingDown(service identifier.ServiceID, scalingDown bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.scalingDown == nil {
+		s.scalingDown = map[identifier.ServiceID]bool{}
 	}
-	return list
+	s.scalingDown[service] = scalingDown
 }
 
-// settling returns the order of a target if it was sent within the last SettleTime.
-func (k *StageController) settling(id identifier.TargetID) (sentOrder, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p, ok := k.ordered[id]
-	return p, ok && time.Since(p.at) < SettleTime
+func count(z placer.ZoneFleet, cheap bool) int {
+	if cheap {
+		return z.Cheap
+	}
+	return z.Regular
 }
 
-func (k *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
-	k.mu.Lock()
-	if k.ordered == nil {
-		k.ordered = map[identifier.TargetID]sentOrder{}
-	}
-	maps.DeleteFunc(k.ordered, func(_ identifier.TargetID, p sentOrder) bool { return time.Since(p.at) > SettleTime })
-	k.ordered[t.ID] = sentOrder{stage, time.Now()}
-	k.mu.Unlock()
-	// All instances must stop using the target before it begins to refuse their requests.
-	k.Announce()
-	if sleeper.Sleep(ctx, announceTime) != nil {
-		return
-	}
-	var sent Order
-	err := k.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
-		expected, err := k.Commander.Accepted(ctx, t)
-		if err != nil {
-			return err
+// decoding counts the available targets in the decode stage, by zone.
+func (s *Scaler) decoding(service identifier.ServiceID) map[identifier.ZoneID]int {
+	zones := map[identifier.ZoneID]int{}
+	for _, t := range s.Serving(service, time.Now()) {
+		if t.Stage == registrar.Answers {
+			zones[t.Zone]++
 		}
-		if held, err := k.DutyLease.Authority(); err != nil || held != fence {
-			return elector.ErrNotHolder
-		}
-		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
-		return k.Commander.Order(ctx, t, sent)
+	}
+	return zones
+}
+
+// order sends an order unless the same one was sent and may still take effect. It reports whether the platform accepted
+// the order.
+func (s *Scaler) order(ctx context.Context, service *matcher.Service, p pool, have, want int) bool {
+	last, ordered := s.sent[p]
+	if have == want && (!ordered || last.count == want) {
+		return false
+	}
+	if ordered && last.count == want && time.Now().Before(last.until) {
+		return false
+	}
+	err := s.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
+		return s.Platform.OrderTargets(ctx, fence, ScaleOrder{Service: p.service, Zone: p.zone, Count: want, Cheap: p.cheap})
 	})
-	k.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
-		zap.Uint64("Fence", uint64(sent.Fence)), zap.Uint64("Expected", sent.Expected), zap.Error(err))
-	if errors.Is(err, elector.ErrFenced) {
-		k.fenced = sent.Fence
+	if s.sent == nil {
+		s.sent = map[pool]lastOrder{}
+	}
+	wait := service.Scaling.BootTime + arrivalSlack
+	if err != nil {
+		wait = refusedPause
 	}
+	s.sent[p] = lastOrder{want, time.Now().Add(wait)}
+	s.Logger.Info("targets ordered", zap.String("Service", string(p.service)), zap.String("Zone", string(p.zone)),
+		zap.Bool("Cheap", p.cheap), zap.Int("Have", have), zap.Int("Want", want), zap.Error(err))
+	return err == nil
 }
