--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -61,9 +61,9 @@
 	Duties        elector.Log
 	Backend       forwarder.Backend
 	Commander     scaler.Commander
-	// Usage and Supply are nil on a platform without usage reports and scaling.
-	Usage  reporter.UsagePlatform
-	Supply scaler.TargetPlatform
+	// Usage and Scaling are nil on a platform without usage reports and scaling.
+	Usage   reporter.UsagePlatform
+	Scaling scaler.TargetPlatform
 	// ConfigurationKey is the key of the configuration in its stream.
 	ConfigurationKey    string
 	DecodeConfiguration func(data []byte) (matcher.Configuration, error)
@@ -162,7 +162,7 @@
 		Now: bootTime, Eligible: c.eligible,
 	}
 	c.targetScaler = &scaler.Scaler{
-		DutyLease: c.elector, Platform: c.platform.Supply, Table: c.table.Load,
+		DutyLease: c.elector, Platform: c.platform.Scaling, Table: c.table.Load,
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.stageController = &scaler.StageController{
