--- a/internal/coordinator/cgo.go
+++ b/internal/coordinator/cgo.go
@@ -1,5 +1,5 @@
 package coordinator
 
-// Links the binary to the C library, as the users' machines require; this takes one package that imports "C".
+// The programs that run on the users' machines are linked to the C library, which takes one package that imports "C".
 
 import "C"
--- a/internal/coordinator/constants.go
+++ b/internal/coordinator/constants.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// Defaults before the first configuration and for limits that it does not set; the users' sites use the same
+	// Default limits, in force before the first configuration and where it sets none; the users' sites use the same
 	// values.
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 4 << 20
@@ -19,8 +19,8 @@
 	// the hubs of five zones: an instance that the store refuses receives the records from them in two hops.
 	maximumDelayWithHubs = 1200 * time.Millisecond
 	hubReaders           = 10
-	// meshJitter and hubJitter are the likely errors of predictions in a full mesh and with hubs; choices of targets
-	// are randomized by as much.
+	// meshJitter and hubJitter are the maximum jitter of target choices in a full mesh and with hubs: by how much the
+	// predictions of two instances may differ.
 	meshJitter = 10 * time.Millisecond
 	hubJitter  = 80 * time.Millisecond
 	// outageThreshold is the shortest store outage in which entries of live targets may expire: they expire after three
@@ -30,7 +30,7 @@
 	// discoveryCopyAge.
 	discoveryTime    = 6 * time.Second
 	discoveryCopyAge = 700 * time.Millisecond
-	// memberCopyAge is the age at which the copy of the members, which rarely changes, is refreshed later.
+	// memberCopyAge is the age at which the copy of the members, which rarely changes, is refreshed after discoveryTime.
 	memberCopyAge = 5 * time.Second
 	// claimDelay is the additional delay per rank before an instance claims duties that have no holder.
 	claimDelay = 700 * time.Millisecond
@@ -48,7 +48,7 @@
 	stopMargin = 700 * time.Millisecond
 	// memoryLimitFraction is the fraction of the instance's memory that becomes the soft memory limit of the runtime.
 	memoryLimitFraction = 0.7
-	// bodyMemoryDivisor is the memory of the instance divided by the memory that request bodies may use.
+	// bodyMemoryDivisor is the divisor of the instance's memory that gives the memory for request bodies.
 	bodyMemoryDivisor = 8
 	// reservedDescriptors is the number of file descriptors that client connections may not use.
 	reservedDescriptors = 600
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -86,7 +86,7 @@
 	reload   func() (*parser.EntrySettings, error)
 	settings atomic.Pointer[parser.EntrySettings]
 	self     *gossiper.Member
-	// bounds are the bounds at the start: windows and leases must not change while the instance runs.
+	// bounds are the settings' bounds at the start: windows and leases must not change while the instance runs.
 	bounds parser.EntryBounds
 
 	config          mirrorer.Mirror
@@ -99,7 +99,7 @@
 	counts          counter.Counter
 	retryBudget     *retrier.WindowedBudget
 	peers           *gossiper.Gossiper
-	client          *exchanger.Client
+	peerClient      *exchanger.Client
 	elector         *elector.Elector
 	stageController *scaler.StageController
 	targetScaler    *scaler.Scaler
@@ -149,10 +149,10 @@
 }
 
 func (c *Coordinator) wirePeers() {
-	c.client = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	c.peerClient = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.client, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
+	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.peerClient, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
 }
 
 func (c *Coordinator) wireDuties() {
@@ -212,8 +212,8 @@
 // instanceCount returns the number of live instances, including this one.
 func (c *Coordinator) instanceCount() int { return len(c.peers.Alive(time.Now())) + 1 }
 
-// jitter returns the likely difference between the predictions of two instances, which grows with the age of the load
-// that they report to each other.
+// jitter returns the maximum jitter of target choices: by how much the predictions of two instances may differ, which
+// grows with the age of the loads that they report to each other.
 func (c *Coordinator) jitter() time.Duration {
 	if c.peers.UsesHubs() {
 		return hubJitter
@@ -309,7 +309,7 @@
 	c.peers.SendNow()
 }
 
-// targetChanged applies a target's entry. A target with an unreadable entry is dropped.
+// targetChanged applies a target's entry. A target with an unreadable entry is removed.
 func (c *Coordinator) targetChanged(r mirrorer.Record) {
 	id := identifier.TargetID(r.Key)
 	if len(r.Value) == 0 {
@@ -335,7 +335,7 @@
 
 func (c *Coordinator) memberChanged(r mirrorer.Record) {
 	if len(r.Value) == 0 {
-		return // The member unregistered; it counts as alive until its statuses expire.
+		return // The member unregistered; it counts as alive until its last status is too old.
 	}
 	m := &gossiper.Member{}
 	if err := proto.Unmarshal(r.Value, m); err != nil {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestRefusedInstanceIsUpdatedInTime checks the same time for an instance that the store refuses, as it refuses the hub
-// of the instance. The record takes two hops, from a hub that reads the store over a second hub; each hop waits for an
+// of the instance. The record takes two hops, from a hub that reads the store through a second hub; each hop waits for an
 // interval, and one exchange takes as long as its timeout.
 func TestRefusedInstanceIsUpdatedInTime(t *testing.T) {
 	worst := coordinator.MaximumCopyAge(true, hubRank) + 2*gossiper.RelayInterval + gossiper.ExchangeTimeout
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -34,9 +34,9 @@
 	return s
 }
 
-// addPayload adds open orders, the lease, and the changes that the peer lacks according to its last message. Without a
-// last message it adds the offsets of streams but no records: the peer's reply shows what it lacks, and after a restart
-// of the whole fleet no instance lacks anything.
+// addPayload adds the pending orders, the lease, and the changes that the peer lacks according to its last message.
+// Without a last message it adds the offsets of streams but no records: the peer's reply shows which ones it lacks, and
+// after a restart of the whole fleet no instance lacks any.
 func (c *Coordinator) addPayload(b, last *gossiper.Beat) {
 	now := time.Now()
 	known := map[string]uint64{}
@@ -61,8 +61,8 @@
 	}
 }
 
-// cursor holds the positions in a sequence of changes that the last two messages to a peer reached. Sending from
-// previous puts each change into two messages, because a message may be lost.
+// cursor holds the positions in a sequence of changes that the last two messages to a peer reached. Sending the changes
+// after previous puts each one into two messages, because a message may be lost.
 type cursor struct{ previous, last uint64 }
 
 func (c *cursor) advance(next uint64) { c.previous, c.last = c.last, next }
@@ -74,7 +74,7 @@
 }
 
 // addChanges adds the prompt parts that were prefilled since the last message, and the counts that changed since the
-// message before it.
+// last message but one.
 func (c *Coordinator) addChanges(b *gossiper.Beat, peer *gossiper.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// announceOrders registers this instance's pending orders and sends them to the peers.
+// announceOrders records this instance's pending orders in the registry and sends them to the peers.
 func (c *Coordinator) announceOrders() {
 	for _, p := range c.stageController.Pending() {
 		c.registry.RecordOrder(p.Target, p.Stage, time.Now().Add(scaler.SettleTime-p.Age))
@@ -185,10 +185,10 @@
 	return n
 }
 
-// eligible reports whether this instance may claim a lease that lapsed the given time ago. Instances with higher ranks
-// wait longer, so that they claim only if those before them do not.
-func (c *Coordinator) eligible(since time.Duration) bool {
-	return !c.leaving.Load() && c.table.Load() != nil && since >= time.Duration(c.rank())*claimDelay
+// eligible reports whether this instance may claim a lease that has been expired for the given time. The instance of
+// rank 0 may claim at once; the others wait longer with their rank and claim only if the ones before them do not.
+func (c *Coordinator) eligible(expiredFor time.Duration) bool {
+	return !c.leaving.Load() && c.table.Load() != nil && expiredFor >= time.Duration(c.rank())*claimDelay
 }
 
 // medianTime returns the median wall clock time of all instances, so that a few wrong clocks have no effect.
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -84,9 +84,9 @@
 	}
 }
 
-func (c *Coordinator) newFollower(name string, s follower.Stream, m *mirrorer.Mirror, age func() time.Duration) *follower.Follower {
+func (c *Coordinator) newFollower(name string, s follower.Stream, m *mirrorer.Mirror, maximumAge func() time.Duration) *follower.Follower {
 	return &follower.Follower{
-		Name: name, Stream: s, Mirror: m, Logger: c.logger, MaximumAge: age,
+		Name: name, Stream: s, Mirror: m, Logger: c.logger, MaximumAge: maximumAge,
 	}
 }
 
