--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -44,7 +44,7 @@
 	Member  *Member
 	Ready   bool
 	Leaving bool
-	// StatusAt is when it created its newest status.
+	// StatusAt is when the peer created its newest status.
 	StatusAt time.Time
 	// ClockOffset is the peer's wall clock time minus this process's monotonic time.
 	ClockOffset time.Duration
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// TestWeakInstancesAreNoHubs guards against a fault of rolling restarts on machines of two sizes: when all strong
-// instances of a zone were down, a weak one became hub and relayed the messages of its zone over a slow link.
+// TestWeakInstancesAreNoHubs checks the case of a rolling restart on machines of two sizes: when all strong instances of
+// a zone are down, no weak one may become a hub and relay the messages of its zone over a slow link.
 func TestWeakInstancesAreNoHubs(t *testing.T) {
 	strong := func(i int) uint32 { return map[bool]uint32{true: 800, false: 100}[i < 6] }
 	runFleet(t, 45, strong, func(fl *fleet) {
