--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -26,7 +26,7 @@
 	ErrRefused = errors.New("store refused the call")
 	// ErrFenced is returned by a receiver that has seen a higher fencing number, or that cannot provide what was ordered.
 	ErrFenced = errors.New("refused by fencing number")
-	// ErrNotHolder is returned when this instance does not hold the lease, or holds it no longer.
+	// ErrNotHolder is returned when this instance does not hold the lease or no longer holds it.
 	ErrNotHolder = errors.New("duties not held")
 )
 
@@ -55,14 +55,14 @@
 	Fence  identifier.Fence
 	// Next is the offset after that record.
 	Next identifier.Offset
-	// Age is the time since an instance first knew of the record.
+	// Age is the time since the record was first known to be in the log.
 	Age time.Duration
 }
 
 // Elector claims and renews the lease; exported fields must be set before Run.
 //
 // Authority ends one lease after the last successful claim or renewal was sent. A contender claims once it has known
-// of no newer record for the length of a lease plus the drift allowance. The claim is appended only if the log still
+// of no newer record for the duration of a lease plus the drift allowance. The claim is appended only if the log still
 // ends there, so a renewal in flight either is appended first and invalidates the claim, or is refused. A lease is
 // never released early, so the first action of the next holder comes a whole lease after the last action of this one.
 type Elector struct {
@@ -77,7 +77,7 @@
 
 	mu   sync.Mutex
 	fold Fold
-	// headSince is when this instance first knew of the newest record.
+	// headSince is when the newest record was first known to be in the log, on the clock of Now.
 	headSince time.Duration
 	logRead   bool
 	expiresAt time.Duration
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	asserter.That(remaining > 0 && remaining <= e.Lease, asserter.LeaseHeldAtSend, "%s left of %s", remaining, e.Lease)
+	asserter.That(remaining > 0 && remaining <= e.Lease, asserter.LeaseHeldAtSend, "%s remain of a lease of %s", remaining, e.Lease)
 	ctx, cancel := context.WithTimeout(ctx, min(sendTimeout, remaining))
 	defer cancel()
 	return send(ctx, fence)
@@ -246,7 +246,7 @@
 }
 
 // nextAttempt numbers claims and renewals, so that a delayed one cannot be mistaken for a later one: the lease would
-// then be counted from a later time than that at which other instances saw the record.
+// then count from a later time than the one at which other instances saw the record.
 func (e *Elector) nextAttempt() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -101,7 +101,8 @@
 	return v.records[from:], identifier.Offset(len(v.records)), nil
 }
 
-// contend runs three electors under a random schedule; it returns violated invariants and the number of claims.
+// contend runs three electors under the random schedule of a seed, with clock rates that differ by the fraction drift.
+// It returns the violated invariants and the number of claims.
 func contend(t *testing.T, seed uint64, faultRate float64, drift float64) (violations []string, claims int) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &log{rng: rand.New(rand.NewPCG(seed, 1)), faultRate: faultRate, disconnected: map[string]bool{}}
--- a/internal/elector/fold.go
+++ b/internal/elector/fold.go
@@ -6,7 +6,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Figures are the requests of each team in a closed usage window.
+// Figures are the numbers of requests of each team in a closed usage window.
 type Figures map[identifier.TeamID]uint64
 
 // maximumClosedWindows is the number of closed windows that a fold holds: some minutes of the shortest windows in use.
@@ -39,7 +39,7 @@
 	}
 }
 
-// close adds a closed window; the first figures of a window stand.
+// close adds a closed window. The first figures of a window are final; later ones are ignored.
 func (f *Fold) close(c *Close) {
 	if f.Closed == nil {
 		f.Closed = map[int64]Figures{}
