--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	// callTimeout limits one call, in addition to the wait; a healthy store answers within milliseconds.
+	// callTimeout limits one call, not counting its wait for records; a healthy store answers within milliseconds.
 	callTimeout = time.Second
 	// retryPause is the pause after a failed call, which limits the load on a failing store.
 	retryPause = 400 * time.Millisecond
@@ -82,9 +82,9 @@
 // step makes one call to the store and applies the result.
 func (f *Follower) step(ctx context.Context) error {
 	calledAt := time.Now()
-	whole := f.expired || f.Mirror.Next() == 0
-	records, next, err := f.call(ctx, whole)
-	if errors.Is(err, ErrExpired) && !whole {
+	readNewest := f.expired || f.Mirror.Next() == 0
+	records, next, err := f.call(ctx, readNewest)
+	if errors.Is(err, ErrExpired) && !readNewest {
 		f.Logger.Info("records expired, reading the newest of each key", zap.String("Stream", f.Name), zap.Error(err))
 		f.expired = true
 		return nil
@@ -102,7 +102,7 @@
 		f.lost = false
 		f.Logger.Info("store regained", zap.String("Stream", f.Name))
 	}
-	if whole {
+	if readNewest {
 		f.Mirror.Replace(records, next, calledAt)
 	} else {
 		f.Mirror.Apply(records, next, calledAt)
@@ -110,16 +110,16 @@
 	return nil
 }
 
-// call reads the newest record of each key if whole is set, and otherwise the records after those of the mirror, some
-// of which peers may have sent.
-func (f *Follower) call(ctx context.Context, whole bool) ([]mirrorer.Record, identifier.Offset, error) {
+// call reads the newest record of each key if readNewest is set, and otherwise the records from the mirror's next offset
+// on; peers may have sent the ones before it.
+func (f *Follower) call(ctx context.Context, readNewest bool) ([]mirrorer.Record, identifier.Offset, error) {
 	wait := f.Wait
-	if _, known := f.Mirror.Age(time.Now()); !known || whole {
+	if _, known := f.Mirror.Age(time.Now()); !known || readNewest {
 		wait = 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
-	if whole {
+	if readNewest {
 		return f.Stream.Newest(ctx)
 	}
 	return f.Stream.Read(ctx, f.Mirror.Next(), wait)
--- a/internal/mirrorer/mirror.go
+++ b/internal/mirrorer/mirror.go
@@ -24,8 +24,8 @@
 	// Equivalent reports whether a newer value means the same as the older one. The record is then ignored, so that it
 	// is not sent to peers. It may be nil.
 	Equivalent func(older, newer []byte) bool
-	// OutageThreshold is the time without fresh data, while calls failed, that counts as an outage; zero disables
-	// detection.
+	// OutageThreshold is the shortest time without fresh data, while calls failed, that counts as an outage; zero disables
+	// the detection.
 	OutageThreshold time.Duration
 	// FailingFor returns for how long this instance's own calls have failed. Without failed calls, a time without fresh
 	// data is a pause of this instance or of its peers. It must be set if OutageThreshold is.
@@ -42,7 +42,7 @@
 // Apply merges records into the mirror. Together with the known records they are complete up to next, as of the time
 // asOf.
 //
-// A zero asOf means that the sender has never read the store; it does not change the mirror's age.
+// A zero asOf means that the sender's own copy was never known to be complete; it does not change the mirror's age.
 func (m *Mirror) Apply(records []Record, next identifier.Offset, asOf time.Time) {
 	changed := m.merge(records, next, asOf)
 	if m.OnChange == nil {
@@ -138,7 +138,7 @@
 	return list
 }
 
-// Get returns the newest record of a key.
+// Get returns the newest record of a key, or false if none is known.
 func (m *Mirror) Get(key string) (Record, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
