--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -44,7 +44,7 @@
 	// scalingDown holds the services whose targets are being withdrawn.
 	scalingDown map[identifier.ServiceID]bool
 	sent        map[pool]lastOrder
-	// withdrawing holds the last withdrawal of each pool that still has the withdrawn targets.
+	// withdrawing holds the last withdrawal of each pool in which the withdrawn targets are still present.
 	withdrawing map[pool]lastOrder
 	discovery   discovery
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-// change orders additional targets at once, but withdraws targets in one zone at a time, so that some in the decode stage
-// remain: the platform chooses which targets leave, and replacing them takes a change of stage.
+// change orders additional targets at once, but withdraws targets from one pool at a time, so that some in the decode
+// stage remain: the platform chooses which targets leave, and replacing them takes a change of stage.
 func (s *Scaler) change(ctx context.Context, service *matcher.Service, p pool, have, want int) {
 	if want < have {
 		if len(s.withdrawing) > 0 {
@@ -182,8 +182,8 @@
 	return zones
 }
 
-// order sends an order unless the same one was sent and may still take effect. It reports whether the platform accepted
-// the order.
+// order sends an order, unless the pool has the wanted number of targets and no other number was ordered last, or the
+// same order was sent and may still take effect. It reports whether the platform accepted the order.
 func (s *Scaler) order(ctx context.Context, service *matcher.Service, p pool, have, want int) bool {
 	last, ordered := s.sent[p]
 	if have == want && (!ordered || last.count == want) {
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// boot and change are the times that the users' engines take; entryDelay is the time until an entry becomes known.
+	// boot and change are the times that the users' engines take to boot and to change their stage; entryDelay is the time
+	// until a change of a target's entry becomes known.
 	boot       = 4 * time.Second
 	change     = 3 * time.Second
 	entryDelay = 1200 * time.Millisecond
@@ -124,9 +125,9 @@
 	return n
 }
 
-// TestGivingBackLeavesTargetsForAnswers checks that some engine is always in the decode stage while the load falls:
+// TestWithdrawalsKeepDecodingTargets checks that some engine is always in the decode stage while the load falls:
 // engines are withdrawn in every zone, and the platform stops those in the decode stage first.
-func TestGivingBackLeavesTargetsForAnswers(t *testing.T) {
+func TestWithdrawalsKeepDecodingTargets(t *testing.T) {
 	for _, zones := range [][]identifier.ZoneID{{"a", "b", "c", "d"}, {"a", "b"}, {"a"}} {
 		synctest.Test(t, func(t *testing.T) {
 			prices := map[identifier.ZoneID]float64{}
--- a/internal/scaler/stages.go
+++ b/internal/scaler/stages.go
@@ -20,7 +20,7 @@
 // ErrRejected is returned when a target or the platform did not accept an order.
 var ErrRejected = errors.New("order rejected")
 
-// Order orders a target to change to a stage.
+// Order is an order to a target to change to a stage.
 type Order struct {
 	Stage  registrar.Stage
 	Holder string
@@ -29,7 +29,7 @@
 	Expected uint64
 }
 
-// ScaleOrder orders a number of targets of a service in an availability zone.
+// ScaleOrder is an order for the total number of regular or cheap targets of a service in an availability zone.
 type ScaleOrder struct {
 	Service identifier.ServiceID
 	Zone    identifier.ZoneID
@@ -44,14 +44,14 @@
 	Order(ctx context.Context, t *registrar.Target, o Order) error
 }
 
-// DutyLease holds the lease under which orders are sent.
+// DutyLease is the lease under which orders are sent.
 type DutyLease interface {
 	Authority() (identifier.Fence, error)
 	WithLease(ctx context.Context, send func(ctx context.Context, fence identifier.Fence) error) error
 }
 
 const (
-	// announceTime is how long it takes until the other instances know of an order.
+	// announceTime is the time that the other instances take to receive a pending order.
 	announceTime = 30 * time.Millisecond
 	// stepInterval is the time between two checks of the stages.
 	stepInterval = 250 * time.Millisecond
@@ -78,8 +78,9 @@
 	mu        sync.Mutex
 	ordered   map[identifier.TargetID]sentOrder
 	heldSince time.Time
-	fenced    identifier.Fence
-	discovery discovery
+	// refusedFence is the fencing number of the last order that was refused for it.
+	refusedFence identifier.Fence
+	discovery    discovery
 }
 
 // sentOrder is an order that the target's published entry may not show yet.
@@ -105,42 +106,42 @@
 }
 
 // Run orders stages while the lease is held, until ctx ends. A fencing number that was refused is not used again.
-func (k *StageController) Run(ctx context.Context) {
+func (c *StageController) Run(ctx context.Context) {
 	for sleeper.Sleep(ctx, stepInterval) == nil {
-		fence, err := k.DutyLease.Authority()
-		if err != nil || fence == k.fenced {
-			k.heldSince = time.Time{}
+		fence, err := c.DutyLease.Authority()
+		if err != nil || fence == c.refusedFence {
+			c.heldSince = time.Time{}
 			continue
 		}
-		if k.heldSince.IsZero() {
-			k.heldSince = time.Now()
+		if c.heldSince.IsZero() {
+			c.heldSince = time.Now()
 		}
-		if table := k.Table(); table != nil {
-			k.arrangeAll(ctx, table)
+		if table := c.Table(); table != nil {
+			c.arrangeAll(ctx, table)
 		}
 	}
 }
 
-func (k *StageController) arrangeAll(ctx context.Context, table *matcher.Table) {
+func (c *StageController) arrangeAll(ctx context.Context, table *matcher.Table) {
 	count := 0
 	for i := range table.Services {
 		if table.Services[i].Engine != nil {
-			count += len(k.Targets(table.Services[i].ID))
+			count += len(c.Targets(table.Services[i].ID))
 		}
 	}
-	if !k.discovery.update(count, time.Now()) {
+	if !c.discovery.update(count, time.Now()) {
 		return
 	}
 	for i := range table.Services {
 		if s := &table.Services[i]; s.Engine != nil {
-			k.arrange(ctx, s)
+			c.arrange(ctx, s)
 		}
 	}
 }
 
 // arrange orders the stage changes of one service's targets.
-func (k *StageController) arrange(ctx context.Context, s *matcher.Service) {
-	targets := k.Targets(s.ID)
+func (c *StageController) arrange(ctx context.Context, s *matcher.Service) {
+	targets := c.Targets(s.ID)
 	byID := map[identifier.TargetID]*registrar.Target{}
 	var engines []placer.StageEngine
 	for _, t := range targets {
@@ -150,20 +151,21 @@
 		byID[t.ID] = t
 		e := placer.StageEngine{ID: t.ID, Zone: t.Zone, Stage: t.Stage, Cheap: t.Cheap}
 		// An order counts as carried out while the target still has time to report its new stage.
-		if p, ordered := k.settling(t.ID); ordered {
-			e.Stage, e.Busy = p.stage, true
+		if o, ordered := c.settling(t.ID); ordered {
+			e.Stage, e.Busy = o.stage, true
 		}
 		engines = append(engines, e)
 	}
 	placer.SortEngines(engines)
 	wanted := placer.WantedDecodeEngines(len(engines))
-	if k.ScalingDown(s.ID) {
+	if c.ScalingDown(s.ID) {
+		// The platform may withdraw a target in the decode stage, so a second one is needed.
 		wanted = max(wanted, min(2, len(engines)-1))
 	}
 	changes := placer.PlanStages(engines, wanted)
 	var group sync.WaitGroup
-	for _, c := range changes {
-		group.Go(func() { k.order(ctx, byID[c.ID], c.Stage) })
+	for _, change := range changes {
+		group.Go(func() { c.order(ctx, byID[change.ID], change.Stage) })
 	}
 	group.Wait()
 }
@@ -176,54 +178,55 @@
 }
 
 // Pending returns the orders that the targets' published entries may not show yet.
-func (k *StageController) Pending() []Pending {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *StageController) Pending() []Pending {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var list []Pending
-	for id, p := range k.ordered {
-		if age := time.Since(p.at); age < SettleTime {
-			list = append(list, Pending{Target: id, Stage: p.stage, Age: age})
+	for id, o := range c.ordered {
+		if age := time.Since(o.at); age < SettleTime {
+			list = append(list, Pending{Target: id, Stage: o.stage, Age: age})
 		}
 	}
 	return list
 }
 
 // settling returns the order of a target if it was sent within the last SettleTime.
-func (k *StageController) settling(id identifier.TargetID) (sentOrder, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	p, ok := k.ordered[id]
-	return p, ok && time.Since(p.at) < SettleTime
+func (c *StageController) settling(id identifier.TargetID) (sentOrder, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	o, ok := c.ordered[id]
+	return o, ok && time.Since(o.at) < SettleTime
 }
 
-func (k *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
-	k.mu.Lock()
-	if k.ordered == nil {
-		k.ordered = map[identifier.TargetID]sentOrder{}
+// order announces a stage change to the other instances and then sends the order to the target.
+func (c *StageController) order(ctx context.Context, t *registrar.Target, stage registrar.Stage) {
+	c.mu.Lock()
+	if c.ordered == nil {
+		c.ordered = map[identifier.TargetID]sentOrder{}
 	}
-	maps.DeleteFunc(k.ordered, func(_ identifier.TargetID, p sentOrder) bool { return time.Since(p.at) > SettleTime })
-	k.ordered[t.ID] = sentOrder{stage, time.Now()}
-	k.mu.Unlock()
+	maps.DeleteFunc(c.ordered, func(_ identifier.TargetID, o sentOrder) bool { return time.Since(o.at) > SettleTime })
+	c.ordered[t.ID] = sentOrder{stage, time.Now()}
+	c.mu.Unlock()
 	// All instances must stop using the target before it begins to refuse their requests.
-	k.Announce()
+	c.Announce()
 	if sleeper.Sleep(ctx, announceTime) != nil {
 		return
 	}
 	var sent Order
-	err := k.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
-		expected, err := k.Commander.Accepted(ctx, t)
+	err := c.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
+		expected, err := c.Commander.Accepted(ctx, t)
 		if err != nil {
 			return err
 		}
-		if held, err := k.DutyLease.Authority(); err != nil || held != fence {
+		if held, err := c.DutyLease.Authority(); err != nil || held != fence {
 			return elector.ErrNotHolder
 		}
-		sent = Order{Stage: stage, Holder: k.Holder, Fence: fence, Expected: expected}
-		return k.Commander.Order(ctx, t, sent)
+		sent = Order{Stage: stage, Holder: c.Holder, Fence: fence, Expected: expected}
+		return c.Commander.Order(ctx, t, sent)
 	})
-	k.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
+	c.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
 		zap.Uint64("Fence", uint64(sent.Fence)), zap.Uint64("Expected", sent.Expected), zap.Error(err))
 	if errors.Is(err, elector.ErrFenced) {
-		k.fenced = sent.Fence
+		c.refusedFence = sent.Fence
 	}
 }
