--- a/internal/orderer/orderer.go
+++ b/internal/orderer/orderer.go
@@ -30,7 +30,7 @@
 // ErrTargetRefused is returned when a target is unknown or refused an order.
 var ErrTargetRefused = errors.New("target refused the order")
 
-// Authority grants and checks the lease under which orders are sent.
+// Authority is the lease under which orders are sent.
 type Authority interface {
 	Authority() (identifier.Fence, time.Duration, error)
 	WithLease(ctx context.Context, fence identifier.Fence, timeout time.Duration, send func(ctx context.Context) error) error
@@ -56,7 +56,7 @@
 	Platform  Platform
 	HTTP      *http.Client
 	Timeout   time.Duration
-	// DrainNotice is how long a drain lasts at least, so that every entry instance has read the intent.
+	// DrainNotice is the shortest duration of a drain, in which every entry instance reads the intent.
 	DrainNotice time.Duration
 	Address     func(identifier.TargetID) (string, bool)
 	Logger      *zap.Logger
@@ -134,8 +134,8 @@
 	})
 }
 
-// finish carries out an order until the target itself confirms the outcome, and records the outcome. It also returns a
-// refusal.
+// finish carries out an order until the target itself confirms the outcome, and records the outcome. A refusal is
+// recorded as a failed order and also returned.
 func (o *Orderer) finish(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
 	outcome := &recorder.Outcome{Scope: o.Scope, Fence: uint64(fence), OrderID: order.ID, Status: recorder.OrderStatus_Done}
 	granted, err := o.carryOut(ctx, fence, order)
@@ -204,8 +204,8 @@
 	}
 }
 
-// awaitDrained waits until a target that changes its role or is withdrawn has no requests left. Every entry stops
-// sending requests to it as soon as it reads the intent.
+// awaitDrained waits until a target that changes its role or is withdrawn has no requests left. Each entry instance
+// stops sending requests to the target as soon as it reads the intent.
 func (o *Orderer) awaitDrained(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
 	if order.Kind == recorder.OrderKind_Acquire {
 		return nil
@@ -218,6 +218,7 @@
 }
 
 func (o *Orderer) sendEngine(ctx context.Context, fence identifier.Fence, order *recorder.Order) error {
+	// An order without an ID only raises the fencing number.
 	in := chatter.EngineOrder{OrderID: order.ID, Fence: uint64(fence)}
 	if order.ID != "" {
 		in.Role, in.Model = order.Role.String(), order.Model
@@ -286,7 +287,7 @@
 		return fmt.Errorf("%w: %s", ErrTargetRefused, bytes.TrimSpace(data))
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("order to %s: status %d", order.Target, resp.StatusCode)
+		return fmt.Errorf("control call to %s: status %d", order.Target, resp.StatusCode)
 	}
 	return json.Unmarshal(data, out)
 }
--- a/internal/orderer/orderer_test.go
+++ b/internal/orderer/orderer_test.go
@@ -48,7 +48,7 @@
 	return provider.Page{Offset: from, End: identifier.Offset(len(l.records)), Records: l.records[from:]}, nil
 }
 
-// authority passes the lease check and then blocks each send until the gate opens, like a paused process.
+// authority simulates a lease that passes its check and then blocks each send until the gate opens, like a paused process.
 type authority struct {
 	fence identifier.Fence
 	gate  chan struct{}
@@ -134,7 +134,7 @@
 	return f.engine.Counts()
 }
 
-func TestLateOrderOfADeposedHolder(t *testing.T) {
+func TestLateOrderOfSupersededHolder(t *testing.T) {
 	for name, tc := range map[string]struct {
 		engineChecks, declaredChecks, inherit bool
 		conflicts                             int
@@ -144,8 +144,8 @@
 		"engine that does not check, limited to one order": {false, false, true, 0},
 		"engine that does not check, declared as checking": {false, true, true, 1},
 	} {
-		v := lateOrder(t, tc.engineChecks, tc.declaredChecks, tc.inherit)
-		quicktest.Check(t, v.ConflictingOrders > 0, quicktest.Equals, tc.conflicts > 0, quicktest.Commentf("%s: %+v", name, v))
+		counts := lateOrder(t, tc.engineChecks, tc.declaredChecks, tc.inherit)
+		quicktest.Check(t, counts.ConflictingOrders > 0, quicktest.Equals, tc.conflicts > 0, quicktest.Commentf("%s: %+v", name, counts))
 	}
 }
 
