--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -173,7 +173,7 @@
 	m.Apply(records, identifier.Offset(s.Next), asOf)
 }
 
-// rank returns the number of live and ready instances that come before this one by capacity, then id.
+// rank returns the number of live and ready instances that come before this one, by descending capacity, then by id.
 func (c *Coordinator) rank() int {
 	n := 0
 	for _, p := range c.peers.Alive(time.Now()) {
