--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -84,9 +84,9 @@
 	}
 }
 
-func (c *Coordinator) newFollower(name string, s follower.Stream, m *mirrorer.Mirror, age func() time.Duration) *follower.Follower {
+func (c *Coordinator) newFollower(name string, s follower.Stream, m *mirrorer.Mirror, maximumAge func() time.Duration) *follower.Follower {
 	return &follower.Follower{
-		Name: name, Stream: s, Mirror: m, Logger: c.logger, MaximumAge: age,
+		Name: name, Stream: s, Mirror: m, Logger: c.logger, MaximumAge: maximumAge,
 	}
 }
 
@@ -111,8 +111,8 @@
 
 // MaximumCopyAge returns the age, according to gossip messages, at which the instance of a rank refreshes its copies of
 // configuration and targets at the latest. The actual age may be higher by the duration of an exchange.
-func MaximumCopyAge(large bool, rank int) time.Duration {
-	if large && rank >= hubReaders {
+func MaximumCopyAge(usesHubs bool, rank int) time.Duration {
+	if usesHubs && rank >= hubReaders {
 		return readerCopyAge + maximumDelayWithHubs
 	}
 	return readerCopyAge + maximumDelay
