--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -45,7 +45,7 @@
 	slots         chan struct{}
 }
 
-// EngineCounts counts the engine's work and the calls that must not occur, such as conflicting orders.
+// EngineCounts counts the engine's work and calls that must not occur, such as conflicting orders.
 type EngineCounts struct {
 	Started           int
 	Finished          int
@@ -124,7 +124,7 @@
 }
 
 // start counts a request and returns the channel that a crash closes. It refuses the request and returns false during a
-// role change.
+// role or model change.
 func (e *Engine) start(w http.ResponseWriter, r *http.Request) (<-chan struct{}, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -332,7 +332,7 @@
 	writeJSON(w, caller.Addresses{Addresses: []caller.Address{{Address: r.Host}}, LifetimeMilliseconds: time.Minute.Milliseconds()})
 }
 
-// abort closes the connection without a response.
+// abort closes the connection without completing the response.
 func abort(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
 func flush(w http.ResponseWriter) {
--- a/internal/imitator/network.go
+++ b/internal/imitator/network.go
@@ -68,7 +68,8 @@
 	n.resetConns(func(c *memoryConn) bool { return c.local == name || c.remote == name })
 }
 
-// Pause holds back all bytes that a host sends or reads until Resume.
+// Pause holds back all bytes that a host sends or reads until Resume; connections to listeners that ResetOnPause selects
+// are reset instead.
 func (n *Network) Pause(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +124,7 @@
 	return l, nil
 }
 
-// Dial connects to an address; across a partition it blocks until dialTimeout.
+// Dial connects to an address; if a partition or a pause blocks new connections to it, Dial fails after dialTimeout.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -22,7 +22,7 @@
 	DelayMilliseconds int64
 }
 
-// PlatformCounts counts the calls to the platform and those that must not occur, such as conflicting orders.
+// PlatformCounts counts the calls to the platform and, among them, those that must not occur, such as conflicting orders.
 type PlatformCounts struct {
 	Appends           int
 	Records           int
@@ -58,7 +58,7 @@
 	changed          chan struct{}
 }
 
-// stream is the log of one name; first is the offset of its oldest record.
+// stream is a named log; first is the offset of its oldest record.
 type stream struct {
 	first   int
 	records [][]byte
@@ -172,7 +172,7 @@
 	writeJSON(w, provider.AppendResponse{Offset: identifier.Offset(offset)})
 }
 
-const readBatch = 1000
+const maximumPageRecords = 1000
 
 func (p *Platform) read(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("From"), 10, 64)
@@ -219,7 +219,7 @@
 	page := provider.Page{First: identifier.Offset(s.first), Offset: identifier.Offset(start), End: identifier.Offset(s.end())}
 	if start >= s.first {
 		records := s.records[start-s.first:]
-		page.Records = slices.Clone(records[:min(len(records), readBatch)])
+		page.Records = slices.Clone(records[:min(len(records), maximumPageRecords)])
 	}
 	if p.changed == nil {
 		p.changed = make(chan struct{})
