--- a/internal/generator/generator.go
+++ b/internal/generator/generator.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	progressInterval = 2 * time.Second
-	bytesPerToken    = 4
-	maximumErrorBody = 64 << 10
+	progressInterval      = 2 * time.Second
+	bytesPerToken         = 4
+	maximumErrorBodyBytes = 64 << 10
 )
 
 // Generator sends requests. All fields but Progress must be set; with a Swing of 0 the ratio of prompt to output tokens
@@ -95,7 +95,7 @@
 
 func errorCode(r io.Reader) string {
 	var body refuser.Body
-	data, _ := io.ReadAll(io.LimitReader(r, maximumErrorBody))
+	data, _ := io.ReadAll(io.LimitReader(r, maximumErrorBodyBytes))
 	if json.Unmarshal(data, &body) != nil || body.Error.Code == "" {
 		return "Unreadable"
 	}
--- a/internal/generator/result.go
+++ b/internal/generator/result.go
@@ -24,7 +24,8 @@
 	Tokens   int64
 	Failures map[string]int64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// first and between hold latencies in microseconds.
 	first   *hdrhistogram.Histogram
 	between *hdrhistogram.Histogram
 }
