--- a/cmd/coltsfootscale/doc.go
+++ b/cmd/coltsfootscale/doc.go
@@ -1,2 +1,2 @@
-// Command coltsfootscale runs an entry instance or a command of an operator or caller.
+// Command coltsfootscale runs an entry instance, or one of the commands for operators and callers.
 package main
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -115,7 +115,7 @@
 		<-ctx.Done()
 		if leave != nil {
 			leave()
-			// Entry instances read the leaving state before the listener closes.
+			// Gives entry instances time to read the leaving state before the listener closes.
 			time.Sleep(time.Second)
 		}
 		stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
