--- a/internal/arbiter/rule.go
+++ b/internal/arbiter/rule.go
@@ -12,7 +12,7 @@
 //
 // A change is in force only once a majority of the members has acknowledged it. Unless all members have, and none was
 // removed within the bound, the whole bound must also have passed since the majority was first seen: a removed member
-// may go on serving for up to the bound, and its acknowledgement is no longer asked for.
+// may keep serving for up to the bound, and its acknowledgement is no longer requested.
 //
 // An instance serves until the bound has passed since its configuration was last known to be complete: by its own read
 // of the log, by a peer at the same offset that had read the log, or, where no instance reaches the log, by the replies
@@ -31,8 +31,8 @@
 	// Voting is true once the member itself has read the log since its start, because a restart loses what an earlier
 	// incarnation acknowledged.
 	Voting bool
-	// Gone is true if the member's process is taken to have ended: the platform no longer lists it and it does not answer,
-	// or another incarnation replies at its address.
+	// Gone is true if the member's process is presumed to have ended: the platform no longer lists it and it does not
+	// answer, or another incarnation replies at its address.
 	Gone bool
 }
 
--- a/internal/committer/committer.go
+++ b/internal/committer/committer.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// gather returns a batch of the first commit and those already queued, without the ones whose context has ended.
+// gather returns a batch of the first commit and those already queued, without commits whose context has ended.
 func (c *Committer) gather(first *commit) []*commit {
 	batch := []*commit{first}
 	for len(batch) < c.batch {
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -16,7 +16,7 @@
 
 // Choose returns the instances to offer to a client in an availability zone: those of its own zone if there are enough,
 // else those of all zones. Clients pick one at random, so an instance with less than the median capacity is offered in
-// a correspondingly smaller fraction of the answers. If that leaves too few, all are offered. random returns numbers
+// a correspondingly smaller fraction of the responses. If that leaves too few, all are offered. random returns numbers
 // from 0 to 1.
 func Choose(ready []*gossiper.Member, zone identifier.ZoneID, random func() float64) []*gossiper.Member {
 	var nearby []*gossiper.Member
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -28,9 +28,9 @@
 	quicktest.Check(t, len(director.Choose(members(make([]uint32, 300)...), "z0", zero)) <= 64, quicktest.IsTrue)
 }
 
-// TestWeakInstancesAreOfferedLess checks that an instance with a tenth of the median capacity is offered in about a
-// tenth of the answers, so that clients, which pick at random, don't overload it.
-func TestWeakInstancesAreOfferedLess(t *testing.T) {
+// TestLowCapacityInstancesAreOfferedLess checks that an instance with a tenth of the median capacity is offered in about a
+// tenth of the responses, so that clients, which pick at random, don't overload it.
+func TestLowCapacityInstancesAreOfferedLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	offered := map[string]int{}
 	list := members(100, 0, 1000, 0, 1000, 0, 1000, 0)
--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -33,7 +33,7 @@
 	mu sync.Mutex
 	// received holds the last heartbeat of each instance.
 	received map[string]received
-	// gone holds the instances whose process is taken to have ended.
+	// gone holds the instances whose process is presumed to have ended.
 	gone map[string]bool
 	// firstSeen holds when each incarnation was first seen as a member.
 	firstSeen map[string]time.Time
@@ -133,7 +133,7 @@
 	o.Config.InstallSnapshot(identifier.Offset(reply.Checkpoint.Next), reply.Checkpoint.State, sentAt.Add(-age))
 }
 
-// SetGone replaces the set of instances that the platform no longer lists and that are taken to have ended.
+// SetGone replaces the set of instances that the platform no longer lists and that are presumed to have ended.
 func (o *Observer) SetGone(gone map[string]bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -48,10 +48,10 @@
 	Cheap bool
 }
 
-// returnTimeout is how long after the end of a store outage a target whose entry has lapsed may take to renew it.
+// returnTimeout is the time after the end of a store outage within which a target must renew its lapsed entry.
 const returnTimeout = 2 * time.Second
 
-// lastEntry is what is kept of the newest entry of one incarnation of a target, also after the entry is removed.
+// lastEntry holds the fields of the newest entry of one incarnation of a target that outlive the entry's removal.
 type lastEntry struct {
 	startedAt time.Time
 	revision  uint64
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestCallThatNeverLeftCanBeRetried(t *testing.T) {
+func TestUnsentCallCanBeRetried(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		c := quicktest.New(t)
 		s.startEntries("entry-a", "entry-b")
--- a/internal/tracer/trace.go
+++ b/internal/tracer/trace.go
@@ -14,8 +14,8 @@
 // ErrUnknownRequest is returned when no line names the request.
 var ErrUnknownRequest = errors.New("no line names the request")
 
-// maximumStateAge is how long before a request's arrival a state line may be to be shown; the latest configuration and an
-// ongoing loss of the store are shown whatever their age. The entry of a lost target expires within a few seconds.
+// maximumStateAge is the maximum age, at a request's arrival, of a state line that is shown. The latest configuration and
+// an ongoing loss of the store are shown regardless of age. The entry of a lost target expires within a few seconds.
 const maximumStateAge = 10 * time.Second
 
 // Trace holds the log lines that explain how one request was handled.
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -75,7 +75,7 @@
 	return tg
 }
 
-// Hit returns the number of leading parts of a prompt that the target is believed to have cached.
+// Hit returns the number of leading parts of a prompt that the target is assumed to have cached.
 func (tg *target) Hit(parts []uint64) int {
 	for i, p := range parts {
 		if !tg.parts[p] {
