--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -19,17 +19,17 @@
 const stopTimeout = time.Minute
 
 type options struct {
-	Platform platformCommand `command:"platform" description:"run a stand-in of the platform"`
-	Engine   engineCommand   `command:"engine" description:"run a stand-in of a model engine"`
-	Service  serviceCommand  `command:"service" description:"run a stand-in of a plain service"`
-	Get      getCommand      `command:"get" description:"print what a stand-in answers to a GET"`
-	Post     postCommand     `command:"post" description:"send a fault or list to a stand-in"`
+	Platform platformCommand `command:"platform" description:"run a stand-in for the platform"`
+	Engine   engineCommand   `command:"engine" description:"run a stand-in for a model engine"`
+	Service  serviceCommand  `command:"service" description:"run a stand-in for a plain service"`
+	Get      getCommand      `command:"get" description:"send a GET request to a stand-in and print the response"`
+	Post     postCommand     `command:"post" description:"send a POST request to a stand-in, such as faults or an instance list"`
 }
 
 type platformCommand struct {
 	Listen    string        `long:"Listen" required:"true"`
 	Retention int           `long:"Retention" description:"records kept per stream; 0 keeps all"`
-	Report    time.Duration `long:"ReportTimeout" description:"longest time between two new usage windows"`
+	Report    time.Duration `long:"ReportTimeout" description:"maximum time between two new usage windows"`
 	ListLag   time.Duration `long:"ListLag" description:"lag of the instance list"`
 }
 
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -145,7 +145,7 @@
 		}
 		if r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers {
 			h(discardWriter{}, r)
-			http.Error(w, "answer lost", http.StatusServiceUnavailable)
+			http.Error(w, "response lost", http.StatusServiceUnavailable)
 			return
 		}
 		h(w, r)
