--- a/internal/evaluator/doc.go
+++ b/internal/evaluator/doc.go
@@ -1,2 +1,3 @@
-// Package evaluator holds the scenario benchmarks of the policy, which run the decision code on virtual time.
+// Package evaluator holds benchmarks that run the routing, admission and placement code in simulated scenarios
+// on virtual time, and measurements of how their costs grow with the size of the site.
 package evaluator
--- a/internal/evaluator/engine_test.go
+++ b/internal/evaluator/engine_test.go
@@ -9,77 +9,80 @@
 )
 
 const (
-	prefillRate  = 20000.0
-	stepBase     = 20 * time.Millisecond
-	stepPerToken = 400 * time.Microsecond
-	fullStep     = stepBase + engineSlots*stepPerToken
-	prefillChunk = 512
-	engineSlots  = 32
-	pieceTokens  = chatter.PartTokens
-	cachePieces  = 64
-	changeTime   = 3 * time.Second
-	promisedGap  = 53 * time.Millisecond
-	promisedWait = 1600 * time.Millisecond
+	prefillTokensPerSecond = 20000.0
+	stepBase               = 20 * time.Millisecond
+	stepPerToken           = 400 * time.Microsecond
+	fullStep               = stepBase + engineSlots*stepPerToken
+	prefillChunkTokens     = 512
+	engineSlots            = 32
+	partTokens             = chatter.PartTokens
+	cacheParts             = 64
+	roleChangeTime         = 3 * time.Second
+	promisedTokenGap       = 53 * time.Millisecond
+	promisedFirstToken     = 1600 * time.Millisecond
 )
 
-// job is one request at an engine.
+// job is one request on an engine. The first group of fields is its input, the second its state and results.
 type job struct {
-	pieces      []uint64
-	prompt      int64
-	output      int64
+	parts        []uint64
+	promptTokens int64
+	outputTokens int64
+	// imported is true if a prefill engine computes the KV cache.
 	imported    bool
 	prefillOnly bool
 
-	left    int64
-	begun   bool
-	emitted int64
-	last    time.Time
-	late    int64
-	first   time.Time
-	cached  int64
-	onToken func()
-	done    chan bool
+	// remaining is the number of prompt tokens still to be prefilled.
+	remaining  int64
+	started    bool
+	emitted    int64
+	last       time.Time
+	lateTokens int64
+	first      time.Time
+	cached     int64
+	onToken    func()
+	done       chan bool
 }
 
-// engine is a small fake of a continuously batching engine: each step computes a chunk of
-// a prompt and one token of every running answer, and takes longer the more of them there are.
+// engine simulates an inference engine with continuous batching. Each step prefills a chunk of one prompt and
+// decodes one token of every running answer; it takes longer the more answers are running.
 type engine struct {
-	mu       sync.Mutex
-	wake     chan struct{}
-	role     recorder.Role
-	waiting  []*job
-	running  []*job
-	order    []uint64
-	cached   map[uint64]bool
-	events   []chatter.CacheEvent
-	dead     bool
-	leaving  bool
-	changing time.Time
-	reports  []report
-	lag      time.Duration
-	prefills int64
-	cheap    bool
-	price    float64
+	mu              sync.Mutex
+	wake            chan struct{}
+	role            recorder.Role
+	waiting         []*job
+	running         []*job
+	cacheOrder      []uint64
+	cached          map[uint64]bool
+	events          []chatter.CacheEvent
+	crashed         bool
+	leaving         bool
+	changingUntil   time.Time
+	reports         []report
+	reportLag       time.Duration
+	prefilledTokens int64
+	cheap           bool
+	pricePerHour    float64
 }
 
+// report is the load of an engine at one time.
 type report struct {
 	at   time.Time
 	load chatter.Load
 }
 
-func newEngine(lag time.Duration, cheap bool) *engine {
-	e := &engine{wake: make(chan struct{}, 1), cached: map[uint64]bool{}, lag: lag, cheap: cheap, price: 2}
+func newEngine(reportLag time.Duration, cheap bool) *engine {
+	e := &engine{wake: make(chan struct{}, 1), cached: map[uint64]bool{}, reportLag: reportLag, cheap: cheap, pricePerHour: 2}
 	if cheap {
-		e.price = 0.8
+		e.pricePerHour = 0.8
 	}
 	return e
 }
 
-// submit queues a job; its done channel tells whether it was served.
+// submit queues a job. The job's done channel receives true when it is finished and false if it failed.
 func (e *engine) submit(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.dead || time.Now().Before(e.changing) {
+	if e.crashed || time.Now().Before(e.changingUntil) {
 		j.done <- false
 		return
 	}
@@ -90,10 +93,10 @@
 	}
 }
 
-// run makes steps until stop is closed.
+// run executes steps until stop is closed.
 func (e *engine) run(stop <-chan struct{}) {
 	for {
-		d := e.prepare()
+		d := e.prepareStep()
 		if d == 0 {
 			select {
 			case <-e.wake:
@@ -103,112 +106,118 @@
 			}
 		}
 		time.Sleep(d)
-		e.step(time.Now())
+		e.finishStep(time.Now())
 	}
 }
 
-// prepare admits jobs to the batch and returns how long the next step takes.
-func (e *engine) prepare() time.Duration {
+// prepareStep admits waiting jobs to the batch and returns the duration of the next step, 0 if there is no work.
+func (e *engine) prepareStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.waiting) > 0 && len(e.running) < engineSlots {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.begin(j)
+		e.startJob(j)
 		e.running = append(e.running, j)
 	}
 	d := time.Duration(0)
-	if p := e.prefilling(); p != nil {
-		d += time.Duration(float64(min(p.left, e.chunk())) / prefillRate * float64(time.Second))
+	if p := e.prefillingJob(); p != nil {
+		d += time.Duration(float64(min(p.remaining, e.chunkTokens())) / prefillTokensPerSecond * float64(time.Second))
 	}
-	if n := e.decoding(); n > 0 {
+	if n := e.decodingCount(); n > 0 {
 		d += stepBase + time.Duration(n)*stepPerToken
 	}
 	return d
 }
 
-func (e *engine) begin(j *job) {
-	if j.begun {
+// startJob finds the cached prefix of a job's prompt and sets how many tokens remain to be prefilled.
+func (e *engine) startJob(j *job) {
+	if j.started {
 		return
 	}
-	j.begun = true
+	j.started = true
 	if j.imported {
 		return
 	}
 	hit := int64(0)
-	for _, p := range j.pieces {
+	for _, p := range j.parts {
 		if !e.cached[p] {
 			break
 		}
 		hit++
 	}
-	j.cached = min(hit*pieceTokens, j.prompt)
-	j.left = j.prompt - j.cached
-	e.prefills += j.left
-	e.store(j.pieces)
+	j.cached = min(hit*partTokens, j.promptTokens)
+	j.remaining = j.promptTokens - j.cached
+	e.prefilledTokens += j.remaining
+	e.store(j.parts)
 }
 
-func (e *engine) store(pieces []uint64) {
-	for _, p := range pieces {
+// store adds prompt parts to the cache and evicts the oldest ones beyond its capacity.
+func (e *engine) store(parts []uint64) {
+	for _, p := range parts {
 		if e.cached[p] {
 			continue
 		}
 		e.cached[p] = true
-		e.order = append(e.order, p)
+		e.cacheOrder = append(e.cacheOrder, p)
 		e.events = append(e.events, chatter.CacheEvent{Sequence: uint64(len(e.events)), Piece: p, Stored: true})
-		if len(e.order) > cachePieces {
-			old := e.order[0]
-			e.order = e.order[1:]
+		if len(e.cacheOrder) > cacheParts {
+			old := e.cacheOrder[0]
+			e.cacheOrder = e.cacheOrder[1:]
 			delete(e.cached, old)
 			e.events = append(e.events, chatter.CacheEvent{Sequence: uint64(len(e.events)), Piece: old})
 		}
 	}
 }
 
-func (e *engine) prefilling() *job {
+// prefillingJob returns the oldest running job whose prompt is not yet prefilled, or nil.
+func (e *engine) prefillingJob() *job {
 	for _, j := range e.running {
-		if j.left > 0 {
+		if j.remaining > 0 {
 			return j
 		}
 	}
 	return nil
 }
 
-// chunk is how much of a prompt one step computes: a small part beside running answers.
-func (e *engine) chunk() int64 {
-	if e.decoding() > 0 {
-		return prefillChunk
+// chunkTokens returns how many prompt tokens one step prefills: fewer while answers are decoded, because the chunk
+// prolongs the gap between their tokens.
+func (e *engine) chunkTokens() int64 {
+	if e.decodingCount() > 0 {
+		return prefillChunkTokens
 	}
-	return pieceTokens
+	return partTokens
 }
 
-func (e *engine) decoding() int {
+// decodingCount returns the number of running jobs whose prompt is prefilled.
+func (e *engine) decodingCount() int {
 	n := 0
 	for _, j := range e.running {
-		if j.left == 0 {
+		if j.remaining == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// step ends a step: one piece of the oldest prompt is computed and each running answer gets a token.
-func (e *engine) step(now time.Time) {
+// finishStep applies the results of a step: a chunk of the oldest prompt is prefilled and each running answer gets
+// one token.
+func (e *engine) finishStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if computed := e.prefilling(); computed != nil {
-		computed.left -= min(computed.left, e.chunk())
+	if p := e.prefillingJob(); p != nil {
+		p.remaining -= min(p.remaining, e.chunkTokens())
 	}
-	kept := e.running[:0]
+	unfinished := e.running[:0]
 	for _, j := range e.running {
-		if j.left > 0 || !j.emit(now) {
-			kept = append(kept, j)
+		if j.remaining > 0 || !j.emit(now) {
+			unfinished = append(unfinished, j)
 		}
 	}
-	e.running = kept
+	e.running = unfinished
 }
 
-// emit adds a token and reports whether the job is finished.
+// emit adds a token to the answer and reports whether the job is finished. A prefill job finishes without a token.
 func (j *job) emit(now time.Time) bool {
 	if j.prefillOnly {
 		j.done <- true
@@ -216,37 +225,37 @@
 	}
 	if j.emitted == 0 && j.first.IsZero() {
 		j.first = now
-	} else if now.Sub(j.last) > promisedGap {
-		j.late++
+	} else if now.Sub(j.last) > promisedTokenGap {
+		j.lateTokens++
 	}
 	j.last = now
 	j.emitted++
 	if j.onToken != nil {
 		j.onToken()
 	}
-	if j.emitted < j.output {
+	if j.emitted < j.outputTokens {
 		return false
 	}
 	j.done <- true
 	return true
 }
 
-// crash fails all jobs and refuses new ones.
+// crash fails all jobs, empties the cache and makes the engine reject new jobs.
 func (e *engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dead = true
+	e.crashed = true
 	for _, j := range append(e.waiting, e.running...) {
 		j.done <- false
 	}
 	e.waiting, e.running = nil, nil
-	e.cached, e.order = map[uint64]bool{}, nil
+	e.cached, e.cacheOrder = map[uint64]bool{}, nil
 }
 
 func (e *engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dead = false
+	e.crashed = false
 }
 
 func (e *engine) idle() bool {
@@ -255,31 +264,32 @@
 	return len(e.waiting)+len(e.running) == 0
 }
 
-// load returns the load as it was lag ago.
+// load returns the load as it was reportLag ago, and whether the engine is alive.
 func (e *engine) load() (chatter.Load, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	queued := int64(0)
 	for _, j := range e.running {
-		queued += j.left
+		queued += j.remaining
 	}
 	for _, j := range e.waiting {
-		queued += j.prompt
+		queued += j.promptTokens
 	}
 	current := chatter.Load{
 		Running: int64(len(e.running)), Waiting: int64(len(e.waiting)), Slots: engineSlots, Leaving: e.leaving,
-		QueuedPrefillMilliseconds: int64(float64(queued) / prefillRate * 1000),
+		QueuedPrefillMilliseconds: int64(float64(queued) / prefillTokensPerSecond * 1000),
 	}
 	e.reports = append(e.reports, report{now, current})
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.lag {
+	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.reportLag {
 		e.reports = e.reports[1:]
 	}
 	r := e.reports[0]
 	r.load.AgeMilliseconds = now.Sub(r.at).Milliseconds()
-	return r.load, !e.dead
+	return r.load, !e.crashed
 }
 
+// eventsFrom returns the cache events since a sequence number.
 func (e *engine) eventsFrom(from uint64) chatter.CacheEvents {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/evaluator/exchange_test.go
+++ b/internal/evaluator/exchange_test.go
@@ -20,27 +20,28 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// answering replies with a heartbeat that carries the rates of some teams.
-type answering struct{ beat *messenger.Heartbeat }
+// heartbeatHandler answers every request with the same heartbeat.
+type heartbeatHandler struct{ heartbeat *messenger.Heartbeat }
 
 // Handle returns the heartbeat.
-func (a answering) Handle(*messenger.Request) *messenger.Reply {
-	return &messenger.Reply{Heartbeat: a.beat}
+func (a heartbeatHandler) Handle(*messenger.Request) *messenger.Reply {
+	return &messenger.Reply{Heartbeat: a.heartbeat}
 }
 
-// processorMicros returns the processor time that this process has used.
-func processorMicros() float64 {
+// cpuMicroseconds returns the CPU time that this process has used.
+func cpuMicroseconds() float64 {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1000
 }
 
-// exchangeCost is the processor time, of both ends, of one heartbeat with each of so many peers on loopback.
+// exchangeCost returns the CPU time in microseconds, on both sides, of exchanging one heartbeat with each of the
+// given number of peers over loopback.
 func exchangeCost(peers int) float64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	beat := &messenger.Heartbeat{}
-	proto.Unmarshal(beatOf(45), beat)
+	heartbeat := &messenger.Heartbeat{}
+	proto.Unmarshal(marshaledHeartbeat(45), heartbeat)
 	var dialer net.Dialer
 	client := &exchanger.Client{Dial: func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }}
 	defer client.Close()
@@ -50,32 +51,33 @@
 		if err != nil {
 			return 0
 		}
-		go exchanger.ForHandler(answering{beat}, nil).Serve(ctx, lis)
+		go exchanger.ForHandler(heartbeatHandler{heartbeat}, nil).Serve(ctx, lis)
 		addresses = append(addresses, lis.Addr().String())
 	}
 	round := func() {
 		for _, addr := range addresses {
-			client.Call(ctx, addr, &messenger.Request{Body: &messenger.Request_Heartbeat{Heartbeat: beat}})
+			client.Call(ctx, addr, &messenger.Request{Body: &messenger.Request_Heartbeat{Heartbeat: heartbeat}})
 		}
 	}
 	round()
 	const rounds = 50
-	before := processorMicros()
+	before := cpuMicroseconds()
 	for range rounds {
 		round()
 	}
-	return (processorMicros() - before) / rounds
+	return (cpuMicroseconds() - before) / rounds
 }
 
-// tailCost is the processor time of reading, decoding and folding a page of so many records, with the server's part.
-func tailCost(records int) float64 {
+// logPageCost returns the CPU time in microseconds of reading, decoding and folding one page with the given number
+// of log records, including the server's share.
+func logPageCost(records int) float64 {
 	var page strings.Builder
 	fmt.Fprintf(&page, `{"First":0,"Offset":0,"End":%d,"Records":[`, records)
 	for i := range records {
 		if i > 0 {
 			page.WriteByte(',')
 		}
-		data, _ := proto.Marshal(dispatchOf(i))
+		data, _ := proto.Marshal(newDispatch(i))
 		page.WriteString(`"` + base64.StdEncoding.EncodeToString(data) + `"`)
 	}
 	page.WriteString("]}")
@@ -84,7 +86,7 @@
 	defer srv.Close()
 	log := &provider.Provider{Base: srv.URL, HTTP: srv.Client()}
 	const rounds = 40
-	before := processorMicros()
+	before := cpuMicroseconds()
 	for range rounds {
 		got, err := log.Read(context.Background(), "Journal", 0, time.Second)
 		if err != nil {
@@ -97,5 +99,5 @@
 			f.Apply(f.Next(), r)
 		}
 	}
-	return (processorMicros() - before) / rounds
+	return (cpuMicroseconds() - before) / rounds
 }
--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -12,7 +12,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// policy is a way to decide; admit and place may be nil.
+// policy is one way to route, admit and place. A nil admit admits every request; a nil place changes no roles.
 type policy struct {
 	name  string
 	route func(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool)
@@ -22,15 +22,16 @@
 
 func policies() []policy {
 	return []policy{
-		{name: "coltsfootscale", route: routeOwn, admit: admitOwn, place: placeOwn},
-		{name: "no role changes", route: routeOwn, admit: admitOwn},
-		{name: "fixed roles", route: routeOwn, admit: admitOwn, place: placeFixed},
+		{name: "coltsfootscale", route: routeByPlan, admit: admitByShare, place: placeByDemand},
+		{name: "no role changes", route: routeByPlan, admit: admitByShare},
+		{name: "fixed roles", route: routeByPlan, admit: admitByShare, place: placeFixedRoles},
 		{name: "least reported load", route: routeLeastLoad},
 		{name: "round robin", route: routeRoundRobin},
 	}
 }
 
-func contextOf(stop <-chan struct{}) (context.Context, context.CancelFunc) {
+// contextUntil returns a context that is canceled when stop is closed.
+func contextUntil(stop <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	context.AfterFunc(ctx, func() {})
 	go func() {
@@ -43,59 +44,62 @@
 	return ctx, cancel
 }
 
-func routeOwn(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
+// routeByPlan uses the cheapest plan of the product's tracker.
+func routeByPlan(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	s.mu.Lock()
-	draw := s.r.Uint64()
+	random := s.rng.Uint64()
 	s.mu.Unlock()
-	req := request(a, draw, tried)
+	req := routerRequest(a, random, tried)
 	req.PromptTokens += identifier.Tokens(j.emitted)
 	return e.tracker.Plan(tracker.ModelGroup(model), req, nil)
 }
 
-// admitOwn decides as the relayer does, with shares from the rates that the entries exchanged.
-func admitOwn(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision {
+// admitByShare admits as the relayer does, with team shares computed from the rates that the entries exchange.
+func admitByShare(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision {
 	rate, share := s.share(e, a.team)
-	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.LateShare, Promised: promisedWait, TeamRate: rate, TeamShare: share})
+	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.LateShare, Promised: promisedFirstToken, TeamRate: rate, TeamShare: share})
 }
 
+// share returns a team's demand and the share of the capacity that it is allowed, both as limiter.Cost.
 func (s *simulation) share(e *entry, team identifier.TeamID) (rate, share float64) {
 	prefill, decode := e.tracker.Capacity(tracker.ModelGroup(model))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var demands []limiter.Demand
-	own := -1
-	for _, t := range s.traffic.teams {
+	index := -1
+	for _, t := range s.scenario.teams {
 		if t.id == team {
-			own = len(demands)
+			index = len(demands)
 		}
 		r := s.rates[limiter.RateKey{Team: t.id, Model: model}]
 		demands = append(demands, limiter.Demand{Wanted: limiter.Cost(r, prefill, decode), Weight: t.weight})
 	}
 	limiter.Share(limiter.OverloadCapacity(demands), demands)
-	return demands[own].Wanted, demands[own].Allowed
+	return demands[index].Wanted, demands[index].Allowed
 }
 
-// placeOwn follows the demand as the lease holder does.
-func placeOwn(s *simulation) {
+// placeByDemand changes engine roles to follow the demand, as the lease holder does. The long-term demand is an
+// exponential average with a time constant of 8 s.
+func placeByDemand(s *simulation) {
 	var long placer.Demand
 	var changedAt time.Time
 	for s.tick(time.Second) {
 		short := s.demand()
-		f := 1 - math.Exp(-1.0/8)
-		long.Prompt += f * (short.Prompt - long.Prompt)
-		long.Output += f * (short.Output - long.Output)
-		situation := placer.RoleInput{
+		smoothing := 1 - math.Exp(-1.0/8)
+		long.Prompt += smoothing * (short.Prompt - long.Prompt)
+		long.Output += smoothing * (short.Output - long.Output)
+		input := placer.RoleInput{
 			Engines: s.roleEngines(), Short: short, Long: long, SinceChange: time.Since(changedAt),
 		}
-		for _, c := range placer.PlanRoles(situation) {
+		for _, c := range placer.PlanRoles(input) {
 			changedAt = time.Now()
-			s.group.Go(func() { s.change(c) })
+			s.group.Go(func() { s.changeRole(c) })
 		}
 	}
 }
 
-// placeFixed gives a third of the engines to prefill once and for all.
-func placeFixed(s *simulation) {
+// placeFixedRoles gives a third of the engines the prefill role and the rest the decode role for the whole run.
+func placeFixedRoles(s *simulation) {
 	for i, t := range s.targets {
 		role := recorder.Role_Decode
 		if i%3 == 0 {
@@ -106,6 +110,7 @@
 	s.applyRoles()
 }
 
+// tick waits for d and returns true, or returns false as soon as the run stops.
 func (s *simulation) tick(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -117,6 +122,7 @@
 	}
 }
 
+// demand returns the token rates of all teams together.
 func (s *simulation) demand() placer.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,6 +134,8 @@
 	return d
 }
 
+// roleEngines returns the engines as the placer sees them, without those that have crashed or are leaving.
+// An engine in the middle of a role change stays in the list.
 func (s *simulation) roleEngines() []placer.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,9 +143,9 @@
 	for i, t := range s.targets {
 		id := identifier.TargetID(t.ID)
 		s.engines[i].mu.Lock()
-		gone := s.engines[i].dead || s.engines[i].leaving
+		unavailable := s.engines[i].crashed || s.engines[i].leaving
 		s.engines[i].mu.Unlock()
-		if gone && !s.draining[id] {
+		if unavailable && !s.draining[id] {
 			continue
 		}
 		list = append(list, placer.Engine{
@@ -148,7 +156,7 @@
 	return list
 }
 
-// routeLeastLoad sends to the engine with the lowest reported load.
+// routeLeastLoad chooses the engine with the lowest reported load.
 func routeLeastLoad(s *simulation, e *entry, _ arrival, _ *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	best, lowest := -1, int64(math.MaxInt64)
 	for i, t := range s.targets {
@@ -160,31 +168,31 @@
 			best, lowest = i, n
 		}
 	}
-	return s.plain(e, best)
+	return s.planTarget(e, best)
 }
 
-// routeRoundRobin sends to one engine after the other.
+// routeRoundRobin chooses the engines in turn.
 func routeRoundRobin(s *simulation, e *entry, _ arrival, _ *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	for range s.targets {
 		s.mu.Lock()
-		s.next++
-		i := s.next % len(s.targets)
+		s.nextEngine++
+		i := s.nextEngine % len(s.targets)
 		s.mu.Unlock()
 		_, alive := s.engines[i].load()
 		if alive && !tried[identifier.TargetID(s.targets[i].ID)] {
-			return s.plain(e, i)
+			return s.planTarget(e, i)
 		}
 	}
 	return tracker.Plan{}, false
 }
 
-// plain plans one mixed engine without the tracker's count.
-func (s *simulation) plain(e *entry, i int) (tracker.Plan, bool) {
+// planTarget returns a plan for engine i alone, for policies that choose the engine themselves.
+func (s *simulation) planTarget(e *entry, i int) (tracker.Plan, bool) {
 	if i < 0 {
 		return tracker.Plan{}, false
 	}
 	t := s.targets[i]
-	req := request(arrival{}, 1, nil)
+	req := routerRequest(arrival{}, 1, nil)
 	req.Excluded = func(id identifier.TargetID) bool { return id != identifier.TargetID(t.ID) }
 	plan, ok := e.tracker.Plan(tracker.ModelGroup(model), req, nil)
 	return plan, ok
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -21,70 +21,71 @@
 )
 
 const (
-	model      = identifier.ModelID("menu-7b")
-	entryCount = 3
-	gossipLag  = 250 * time.Millisecond
-	logLag     = 100 * time.Millisecond
-	settleTime = 40 * time.Second
-	attempts   = 4
+	model           = identifier.ModelID("menu-7b")
+	entryCount      = 3
+	gossipLag       = 250 * time.Millisecond
+	logLag          = 100 * time.Millisecond
+	settleTime      = 40 * time.Second
+	maximumAttempts = 4
 )
 
-// simulation runs one scenario under one policy; entries share nothing but what the product shares.
+// simulation runs one scenario under one policy. Its entries exchange only the state that the product's entry
+// instances exchange.
 type simulation struct {
-	traffic  *traffic
-	policy   policy
-	engines  []*engine
-	targets  []*recorder.Target
-	entries  []*entry
-	rates    map[limiter.RateKey]limiter.Rate
-	mu       sync.Mutex
-	outcome  outcome
-	roles    map[identifier.TargetID]recorder.Role
-	draining map[identifier.TargetID]bool
-	stop     chan struct{}
-	group    sync.WaitGroup
-	r        *rand.Rand
-	next     int
+	scenario   *scenario
+	policy     policy
+	engines    []*engine
+	targets    []*recorder.Target
+	entries    []*entry
+	rates      map[limiter.RateKey]limiter.Rate
+	mu         sync.Mutex
+	outcome    outcome
+	roles      map[identifier.TargetID]recorder.Role
+	draining   map[identifier.TargetID]bool
+	stop       chan struct{}
+	group      sync.WaitGroup
+	rng        *rand.Rand
+	nextEngine int
 }
 
-// entry is the deciding part of an entry instance.
+// entry holds the routing and admission state of one entry instance.
 type entry struct {
 	tracker *tracker.Tracker
 	meter   limiter.Meter
 }
 
-// outcome is what a run measured.
+// outcome counts the results of one run.
 type outcome struct {
-	offered   map[identifier.TeamID]int
-	good      map[identifier.TeamID]int
-	refused   int
-	failed    int
-	harmed    int
-	changes   int
-	spend     float64
-	cheapWork float64
-	honest    int
-	lateFirst int
-	lateGaps  int
-	prompt    int64
-	computed  int64
+	offered         map[identifier.TeamID]int
+	good            map[identifier.TeamID]int
+	refused         int
+	failed          int
+	failedOnCheap   int
+	changes         int
+	spend           float64
+	cheapWork       float64
+	admittedOnRetry int
+	lateFirst       int
+	lateGaps        int
+	promptTokens    int64
+	prefilled       int64
 }
 
-func newSimulation(tr *traffic, p policy, seed uint64) *simulation {
+func newSimulation(sc *scenario, p policy, seed uint64) *simulation {
 	s := &simulation{
-		traffic: tr, policy: p, stop: make(chan struct{}), r: rand.New(rand.NewPCG(seed, 9)),
+		scenario: sc, policy: p, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 9)),
 		roles: map[identifier.TargetID]recorder.Role{}, draining: map[identifier.TargetID]bool{},
 		outcome: outcome{offered: map[identifier.TeamID]int{}, good: map[identifier.TeamID]int{}},
 	}
-	for i := range tr.engines {
-		s.engines = append(s.engines, newEngine(tr.lag, i%tr.zones == 0))
+	for i := range sc.engines {
+		s.engines = append(s.engines, newEngine(sc.reportLag, i%sc.zones == 0))
 		s.targets = append(s.targets, &recorder.Target{
-			ID: fmt.Sprintf("engine-%02d", i), Address: strconv.Itoa(i), Zone: fmt.Sprint("zone-", i%tr.zones), Model: string(model),
-			PrefillTokensPerSecond: prefillRate, DecodeTokensPerSecond: float64(time.Second) / float64(fullStep), Slots: engineSlots, Cheap: i%tr.zones == 0,
+			ID: fmt.Sprintf("engine-%02d", i), Address: strconv.Itoa(i), Zone: fmt.Sprint("zone-", i%sc.zones), Model: string(model),
+			PrefillTokensPerSecond: prefillTokensPerSecond, DecodeTokensPerSecond: float64(time.Second) / float64(fullStep), Slots: engineSlots, Cheap: i%sc.zones == 0,
 		})
 	}
 	for range entryCount {
-		e := &entry{tracker: &tracker.Tracker{HTTP: &http.Client{Transport: polls{s}}}}
+		e := &entry{tracker: &tracker.Tracker{HTTP: &http.Client{Transport: pollTransport{s}}}}
 		e.tracker.SetTargets(s.targets)
 		e.tracker.SetEntryCount(entryCount)
 		s.entries = append(s.entries, e)
@@ -92,11 +93,11 @@
 	return s
 }
 
-// polls answers the trackers' polls from the fake engines.
-type polls struct{ s *simulation }
+// pollTransport is an http.RoundTripper that answers the trackers' polls from the simulated engines.
+type pollTransport struct{ s *simulation }
 
-// RoundTrip answers one poll.
-func (p polls) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip answers a poll of an engine's load or cache events.
+func (p pollTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	i, _ := strconv.Atoi(r.URL.Host)
 	load, alive := p.s.engines[i].load()
 	if !alive {
@@ -111,18 +112,19 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(data))}, err
 }
 
-func (s *simulation) zone(n int) []*engine {
+// zoneEngines returns the engines of zone n.
+func (s *simulation) zoneEngines(n int) []*engine {
 	var list []*engine
 	for i, e := range s.engines {
-		if i%s.traffic.zones == n {
+		if i%s.scenario.zones == n {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// victim returns an engine that is changing its role, or the next one.
-func (s *simulation) victim() *engine {
+// engineToCrash returns an engine that is draining for a role change, or the next engine in turn if there is none.
+func (s *simulation) engineToCrash() *engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, t := range s.targets {
@@ -130,14 +132,14 @@
 			return s.engines[i]
 		}
 	}
-	s.next++
-	return s.engines[s.next%len(s.engines)]
+	s.nextEngine++
+	return s.engines[s.nextEngine%len(s.engines)]
 }
 
-// run plays all arrivals and waits for their ends.
+// run serves all arrivals at their times, waits until they end, and returns the outcome.
 func (s *simulation) run(list []arrival) outcome {
 	var background sync.WaitGroup
-	ctx, cancel := contextOf(s.stop)
+	ctx, cancel := contextUntil(s.stop)
 	for _, e := range s.engines {
 		background.Go(func() { e.run(s.stop) })
 	}
@@ -148,42 +150,42 @@
 	if s.policy.place != nil {
 		background.Go(func() { s.policy.place(s) })
 	}
-	if s.traffic.events != nil {
-		background.Go(func() { s.traffic.events(s) })
+	if s.scenario.events != nil {
+		background.Go(func() { s.scenario.events(s) })
 	}
-	began := time.Now()
+	start := time.Now()
 	for _, a := range list {
-		time.Sleep(time.Until(began.Add(a.at)))
+		time.Sleep(time.Until(start.Add(a.at)))
 		s.group.Go(func() { s.serve(a) })
 	}
 	s.group.Wait()
-	elapsed := time.Since(began)
+	elapsed := time.Since(start)
 	time.Sleep(settleTime)
 	close(s.stop)
 	cancel()
 	background.Wait()
 	for _, e := range s.engines {
-		s.outcome.computed += e.prefills
-		s.outcome.spend += e.price * elapsed.Hours()
+		s.outcome.prefilled += e.prefilledTokens
+		s.outcome.spend += e.pricePerHour * elapsed.Hours()
 		if e.cheap {
-			s.outcome.cheapWork += float64(e.prefills)
+			s.outcome.cheapWork += float64(e.prefilledTokens)
 		}
 	}
 	return s.outcome
 }
 
-// gossip carries the rates of all entries to all entries with a lag.
+// gossip gives every entry the sum of all entries' rates, updated every gossipLag.
 func (s *simulation) gossip() {
 	ticker := time.NewTicker(gossipLag)
 	defer ticker.Stop()
 	for {
 		total := map[limiter.RateKey]limiter.Rate{}
 		for _, e := range s.entries {
-			for subject, rate := range e.meter.Rates() {
-				t := total[subject]
+			for key, rate := range e.meter.Rates() {
+				t := total[key]
 				t.Prompt += rate.Prompt
 				t.Output += rate.Output
-				total[subject] = t
+				total[key] = t
 			}
 		}
 		s.mu.Lock()
@@ -197,86 +199,87 @@
 	}
 }
 
-// serve takes one request through admission, routing and up to four attempts.
+// serve routes and admits one request and makes up to maximumAttempts attempts.
 func (s *simulation) serve(a arrival) {
-	s.count(func(o *outcome) { o.offered[a.team]++ })
+	s.updateOutcome(func(o *outcome) { o.offered[a.team]++ })
 	e := s.entries[a.entry]
-	began := time.Now()
+	start := time.Now()
 	tried := map[identifier.TargetID]bool{}
-	j := &job{pieces: a.pieces, prompt: a.prompt, output: a.output}
-	for attempt := 1; attempt <= attempts; attempt++ {
+	j := &job{parts: a.parts, promptTokens: a.promptTokens, outputTokens: a.outputTokens}
+	for attempt := 1; attempt <= maximumAttempts; attempt++ {
 		plan, ok := s.policy.route(s, e, a, j, tried)
 		if !ok {
 			break
 		}
 		if attempt == 1 && s.policy.admit != nil {
-			v := s.policy.admit(s, e, a, plan)
-			if !v.Admitted {
-				s.refuse(e, a, plan, v)
+			decision := s.policy.admit(s, e, a, plan)
+			if !decision.Admitted {
+				s.refuse(e, a, plan, decision)
 				return
 			}
 		}
 		if s.attempt(e, a, j, plan) {
-			e.meter.RecordAnswerLength(model, identifier.Tokens(a.output))
-			s.judge(a, j, began)
+			e.meter.RecordAnswerLength(model, identifier.Tokens(a.outputTokens))
+			s.recordAnswer(a, j, start)
 			return
 		}
 		tried[plan.Answer.ID] = true
 	}
-	s.count(func(o *outcome) { o.failed++ })
+	s.updateOutcome(func(o *outcome) { o.failed++ })
 }
 
-// refuse counts a refusal, and looks after the time that was told whether the request would get in then.
-func (s *simulation) refuse(e *entry, a arrival, plan tracker.Plan, v limiter.Decision) {
+// refuse counts a refusal, waits for its RetryAfter, and records whether the request would then be admitted.
+func (s *simulation) refuse(e *entry, a arrival, plan tracker.Plan, decision limiter.Decision) {
 	e.tracker.Release(plan)
-	e.meter.AddRefused(model, identifier.Tokens(a.prompt)-plan.Cached)
-	s.count(func(o *outcome) { o.refused++ })
-	time.Sleep(v.RetryAfter)
-	again, ok := s.policy.route(s, e, a, &job{}, nil)
+	e.meter.AddRefused(model, identifier.Tokens(a.promptTokens)-plan.Cached)
+	s.updateOutcome(func(o *outcome) { o.refused++ })
+	time.Sleep(decision.RetryAfter)
+	retryPlan, ok := s.policy.route(s, e, a, &job{}, nil)
 	if !ok {
 		return
 	}
-	held := s.policy.admit(s, e, a, again).Admitted
-	e.tracker.Release(again)
-	if held {
-		s.count(func(o *outcome) { o.honest++ })
+	admitted := s.policy.admit(s, e, a, retryPlan).Admitted
+	e.tracker.Release(retryPlan)
+	if admitted {
+		s.updateOutcome(func(o *outcome) { o.admittedOnRetry++ })
 	}
 }
 
-// attempt runs a job by a plan; a failed one can be resumed at its token offset.
+// attempt runs a job on the targets of a plan and reports whether it succeeded. The next attempt of a failed job
+// resumes after the tokens already emitted.
 func (s *simulation) attempt(e *entry, a arrival, j *job, plan tracker.Plan) bool {
 	if plan.Split {
-		pre := &job{pieces: a.pieces, prompt: a.prompt + j.emitted, prefillOnly: true, done: make(chan bool, 1)}
-		s.engine(plan.Prefill.ID).submit(pre)
-		ok := <-pre.done
+		prefillJob := &job{parts: a.parts, promptTokens: a.promptTokens + j.emitted, prefillOnly: true, done: make(chan bool, 1)}
+		s.engine(plan.Prefill.ID).submit(prefillJob)
+		ok := <-prefillJob.done
 		e.tracker.Finish(plan.Prefill, !ok)
 		e.tracker.FirstToken(plan.Prefill)
 		j.imported = ok
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(20 * time.Millisecond) // transfer of the KV cache
 	} else {
 		j.imported = false
 	}
-	j.begun, j.left, j.done = false, 0, make(chan bool, 1)
-	j.prompt = a.prompt + j.emitted
-	uncached := identifier.Tokens(a.prompt) - plan.Cached
+	j.started, j.remaining, j.done = false, 0, make(chan bool, 1)
+	j.promptTokens = a.promptTokens + j.emitted
+	uncached := identifier.Tokens(a.promptTokens) - plan.Cached
 	first := j.emitted == 0
 	observed := false
 	last := time.Time{}
-	late, total := int64(0), int64(0)
+	lateTokens, total := int64(0), int64(0)
 	j.onToken = func() {
 		if !observed {
 			observed = true
 			e.tracker.FirstToken(plan.Answer)
 		} else {
 			total++
-			if time.Since(last) > promisedGap {
-				late++
+			if time.Since(last) > promisedTokenGap {
+				lateTokens++
 			}
 		}
 		last = time.Now()
 		if total == 8 {
-			e.tracker.Tokens(plan.Answer, late, total)
-			late, total = 0, 0
+			e.tracker.Tokens(plan.Answer, lateTokens, total)
+			lateTokens, total = 0, 0
 		}
 		if first {
 			e.meter.Add(limiter.RateKey{Team: a.team, Model: model}, uncached, 0)
@@ -288,7 +291,7 @@
 	ok := <-j.done
 	e.tracker.Finish(plan.Answer, !ok)
 	if !ok && s.engine(plan.Answer.ID).cheap {
-		s.count(func(o *outcome) { o.harmed++ })
+		s.updateOutcome(func(o *outcome) { o.failedOnCheap++ })
 	}
 	return ok
 }
@@ -302,12 +305,13 @@
 	return nil
 }
 
-// judge counts an answer as good if its first token and 95 of 100 of its other tokens came within the promise.
-func (s *simulation) judge(a arrival, j *job, began time.Time) {
-	first := j.first.Sub(began) <= promisedWait
-	gaps := float64(j.late) <= 0.05*float64(j.output)
-	s.count(func(o *outcome) {
-		o.prompt += a.prompt
+// recordAnswer counts an answer as good if its first token and at least 95% of its other tokens came within the
+// promised latencies.
+func (s *simulation) recordAnswer(a arrival, j *job, start time.Time) {
+	first := j.first.Sub(start) <= promisedFirstToken
+	gaps := float64(j.lateTokens) <= 0.05*float64(j.outputTokens)
+	s.updateOutcome(func(o *outcome) {
+		o.promptTokens += a.promptTokens
 		switch {
 		case first && gaps:
 			o.good[a.team]++
@@ -319,13 +323,13 @@
 	})
 }
 
-func (s *simulation) count(f func(o *outcome)) {
+func (s *simulation) updateOutcome(f func(o *outcome)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.outcome)
 }
 
-// applyRoles shows roles and draining targets to every entry.
+// applyRoles sets the roles and draining targets in every entry's tracker.
 func (s *simulation) applyRoles() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -339,8 +343,8 @@
 	}
 }
 
-// change drains an engine, changes its role and puts it to use again.
-func (s *simulation) change(c placer.RoleChange) {
+// changeRole drains an engine, changes its role and makes it available again.
+func (s *simulation) changeRole(c placer.RoleChange) {
 	s.mu.Lock()
 	s.draining[c.ID] = true
 	s.outcome.changes++
@@ -353,9 +357,9 @@
 	}
 	e.mu.Lock()
 	e.role = c.Role
-	e.changing = time.Now().Add(changeTime)
+	e.changingUntil = time.Now().Add(roleChangeTime)
 	e.mu.Unlock()
-	time.Sleep(changeTime + logLag)
+	time.Sleep(roleChangeTime + logLag)
 	s.mu.Lock()
 	s.roles[c.ID] = c.Role
 	delete(s.draining, c.ID)
@@ -363,9 +367,10 @@
 	s.applyRoles()
 }
 
-func request(a arrival, draw uint64, tried map[identifier.TargetID]bool) router.Request {
+// routerRequest returns the routing request for an arrival, excluding the targets already tried.
+func routerRequest(a arrival, random uint64, tried map[identifier.TargetID]bool) router.Request {
 	return router.Request{
-		Zone: identifier.ZoneID(fmt.Sprint("zone-", a.entry)), PromptTokens: identifier.Tokens(a.prompt), Parts: a.pieces, Random: draw,
+		Zone: identifier.ZoneID(fmt.Sprint("zone-", a.entry)), PromptTokens: identifier.Tokens(a.promptTokens), Parts: a.parts, Random: random,
 		Excluded: func(id identifier.TargetID) bool { return tried[id] },
 	}
 }
