--- a/scripts/judge.sh
+++ b/scripts/judge.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs all tests and passes over just the failures that KNOWN-RED.txt names; it prints those.
+# Runs all tests. Prints the failures and exits with 1 unless KNOWN-RED.txt lists all of them.
 set -u
 cd "$(dirname "$0")/.."
 OUT=$(mktemp)
@@ -9,9 +9,10 @@
 grep -v 'no test files' "$OUT"
 [ "$CODE" -eq 0 ] && exit 0
 
-# A failing test counts by its innermost name; a build failure, panic or timeout has no such name and fails.
+# Only the innermost failing subtests are compared with the list. A build failure, panic or timeout names no test,
+# so it always fails.
 if grep -qE '^(panic:|FAIL.*\[(build|setup) failed\])' "$OUT"; then
-  echo "a test binary did not run to its end"
+  echo "a test binary did not finish"
   exit 1
 fi
 UNKNOWN=$(awk '
@@ -24,10 +25,10 @@
       if (leaf && !(name in known)) print name
     }
   }' KNOWN-RED.txt "$OUT")
-echo "known red, see KNOWN-RED.txt:"
+echo "failed tests (see KNOWN-RED.txt):"
 grep -E '^ *--- FAIL: ' "$OUT" | awk '{print "  " $3}'
 if [ -n "$UNKNOWN" ]; then
-  echo "failed and not known: $UNKNOWN"
+  echo "failed and not listed in KNOWN-RED.txt: $UNKNOWN"
   exit 1
 fi
 grep -qE '^ *--- FAIL: ' "$OUT" || exit 1
