--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 GOTOOL = go tool -modfile=tools/go.mod
 PROTOS = internal/recorder/recorder.proto internal/messenger/messenger.proto internal/gossiper/gossip.proto internal/elector/duty.proto
-OWN = $(shell git ls-files '*.go' | grep -v '\.pb\.go$$')
+GO_FILES = $(shell git ls-files '*.go' | grep -v '\.pb\.go$$')
 
 .PHONY: build test lint demo soak fault-soak failures measure bench capacity fuzz race proto
 
@@ -11,7 +11,7 @@
 	bash scripts/judge.sh
 
 lint:
-	@unformatted=$$(gofmt -s -l $(OWN)); test -z "$$unformatted" || { echo "not formatted: $$unformatted"; exit 1; }
+	@unformatted=$$(gofmt -s -l $(GO_FILES)); test -z "$$unformatted" || { echo "not formatted: $$unformatted"; exit 1; }
 	go vet ./...
 	$(GOTOOL) staticcheck ./...
 	$(GOTOOL) revive -config revive.toml -set_exit_status ./...
@@ -27,7 +27,7 @@
 soak:
 	go test ./internal/runner -run TestSoak -timeout 0 -soak.seed $(SEED) -soak.runs $(RUNS)
 
-# Real entry processes under faults from outside them; fifty seeds take half an hour.
+# Runs real entry processes under injected faults. 50 seeds take half an hour.
 fault-soak:
 	go test ./platform -run TestFaultSoak -v -timeout 0 -faultsoak.seed $(SEED) -faultsoak.runs $(RUNS)
 
