--- a/internal/evaluator/engine_test.go
+++ b/internal/evaluator/engine_test.go
@@ -27,7 +27,7 @@
 	parts        []uint64
 	promptTokens int64
 	outputTokens int64
-	// imported is true if a prefill engine computes the KV cache.
+	// imported is true if a prefill engine has computed the KV cache, so that the job starts to decode at once.
 	imported    bool
 	prefillOnly bool
 
@@ -35,9 +35,9 @@
 	remaining  int64
 	started    bool
 	emitted    int64
-	last       time.Time
+	last       time.Time // time of the latest token
 	lateTokens int64
-	first      time.Time
+	first      time.Time // time of the first token
 	cached     int64
 	onToken    func()
 	done       chan bool
--- a/internal/evaluator/exchange_test.go
+++ b/internal/evaluator/exchange_test.go
@@ -24,8 +24,8 @@
 type heartbeatHandler struct{ heartbeat *messenger.Heartbeat }
 
 // Handle returns the heartbeat.
-func (a heartbeatHandler) Handle(*messenger.Request) *messenger.Reply {
-	return &messenger.Reply{Heartbeat: a.heartbeat}
+func (h heartbeatHandler) Handle(*messenger.Request) *messenger.Reply {
+	return &messenger.Reply{Heartbeat: h.heartbeat}
 }
 
 // cpuMicroseconds returns the CPU time that this process has used.
--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -60,7 +60,8 @@
 	return limiter.Admit(limiter.AdmissionInput{Predicted: plan.Predicted, LateShare: plan.LateShare, Promised: promisedFirstToken, TeamRate: rate, TeamShare: share})
 }
 
-// share returns a team's demand and the share of the capacity that it is allowed, both as limiter.Cost.
+// share returns the share of the capacity that a team uses and the share that it is allowed, both in the unit of
+// limiter.Cost.
 func (s *simulation) share(e *entry, team identifier.TeamID) (rate, share float64) {
 	prefill, decode := e.tracker.Capacity(tracker.ModelGroup(model))
 	s.mu.Lock()
--- a/internal/evaluator/scenario_test.go
+++ b/internal/evaluator/scenario_test.go
@@ -18,8 +18,8 @@
 	policyName   = flag.String("scenario.policy", "", "name of the policy to print, or all")
 )
 
-// Required results: the fraction of the bound that the median and the worst seed must reach, and the fraction
-// of the mean goodput that the worst-served team must reach.
+// Goals derived from the users' stated needs: the fraction of the bound that the median and the worst seed must
+// reach, and the fraction of the mean goodput that the worst-served team must reach.
 const (
 	goalMedianOfBound = 0.90
 	goalWorstOfBound  = 0.80
@@ -44,14 +44,14 @@
 	}
 }
 
-// policyResults holds the results of one policy in one scenario, one value per seed. changes is a count, spend a
-// price, and the rest are fractions.
+// policyResults holds the results of one policy in one scenario, one value per seed. roleChanges is a count,
+// spend a price, and the rest are fractions.
 type policyResults struct {
 	goodput         []float64
 	worstTeam       []float64
 	worstOtherTeam  []float64
 	bound           []float64
-	changes         []float64
+	roleChanges     []float64
 	refused         []float64
 	failed          []float64
 	failedOnCheap   []float64
@@ -105,7 +105,7 @@
 	r.worstTeam = append(r.worstTeam, worstTeam)
 	r.worstOtherTeam = append(r.worstOtherTeam, worstOtherTeam)
 	r.bound = append(r.bound, bound(sc, list))
-	r.changes = append(r.changes, float64(o.changes))
+	r.roleChanges = append(r.roleChanges, float64(o.roleChanges))
 	r.refused = append(r.refused, float64(o.refused)/n)
 	r.failed = append(r.failed, float64(o.failed)/n)
 	r.failedOnCheap = append(r.failedOnCheap, float64(o.failedOnCheap)/n)
@@ -130,9 +130,10 @@
 func (r *policyResults) String() string {
 	ratio := r.shareOfBound()
 	return fmt.Sprintf("goodput %.3f, of bound %.3f (worst seed %.3f), worst team %.3f (but the largest %.3f), changes %.0f, refused %.3f (back in time %.2f), late first %.3f, late gaps %.3f, cached %.2f, failed %.4f, harmed %.4f, spend %.2f, cheap work %.2f",
-		median(r.goodput), median(ratio), slices.Min(ratio), median(r.worstTeam), median(r.worstOtherTeam), median(r.changes), median(r.refused), median(r.admittedOnRetry), median(r.lateFirstShare), median(r.lateGapShare), median(r.cached), median(r.failed), median(r.failedOnCheap), median(r.spend), median(r.cheapWorkShare))
+		median(r.goodput), median(ratio), slices.Min(ratio), median(r.worstTeam), median(r.worstOtherTeam), median(r.roleChanges), median(r.refused), median(r.admittedOnRetry), median(r.lateFirstShare), median(r.lateGapShare), median(r.cached), median(r.failed), median(r.failedOnCheap), median(r.spend), median(r.cheapWorkShare))
 }
 
+// median returns the median of a list; of two middle values it returns the greater.
 func median(list []float64) float64 {
 	sorted := slices.Sorted(slices.Values(list))
 	return sorted[len(sorted)/2]
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -23,7 +23,7 @@
 const (
 	model           = identifier.ModelID("menu-7b")
 	entryCount      = 3
-	gossipLag       = 250 * time.Millisecond
+	gossipInterval  = 250 * time.Millisecond
 	logLag          = 100 * time.Millisecond
 	settleTime      = 40 * time.Second
 	maximumAttempts = 4
@@ -54,14 +54,15 @@
 	meter   limiter.Meter
 }
 
-// outcome counts the results of one run.
+// outcome holds the totals of one run. spend is a price; cheapWork (on cheap engines only), promptTokens and prefilled
+// are prompt tokens; the rest are counts.
 type outcome struct {
 	offered         map[identifier.TeamID]int
 	good            map[identifier.TeamID]int
 	refused         int
 	failed          int
 	failedOnCheap   int
-	changes         int
+	roleChanges     int
 	spend           float64
 	cheapWork       float64
 	admittedOnRetry int
@@ -174,9 +175,9 @@
 	return s.outcome
 }
 
-// gossip gives every entry the sum of all entries' rates, updated every gossipLag.
+// gossip gives every entry the sum of all entries' rates, updated every gossipInterval.
 func (s *simulation) gossip() {
-	ticker := time.NewTicker(gossipLag)
+	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for {
 		total := map[limiter.RateKey]limiter.Rate{}
@@ -347,7 +348,7 @@
 func (s *simulation) changeRole(c placer.RoleChange) {
 	s.mu.Lock()
 	s.draining[c.ID] = true
-	s.outcome.changes++
+	s.outcome.roleChanges++
 	s.mu.Unlock()
 	time.Sleep(logLag)
 	s.applyRoles()
--- a/internal/evaluator/traffic_test.go
+++ b/internal/evaluator/traffic_test.go
@@ -42,7 +42,8 @@
 	parts        []uint64
 	promptTokens int64
 	outputTokens int64
-	entry        int
+	// entry is the index of the entry instance that receives the request; its zone has the same index.
+	entry int
 }
 
 const (
@@ -115,7 +116,7 @@
 	return teams
 }
 
-// scenarios returns the simulated situations, with fleets of the size of the users' sites.
+// scenarios returns all scenarios. Their fleets have the size of the users' sites.
 func scenarios() []*scenario {
 	flood := eightTeams()
 	flood[0].share = func(at time.Duration) float64 {
