--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 soak:
 	go test ./internal/runner -run TestSoak -timeout 0 -soak.seed $(SEED) -soak.runs $(RUNS)
 
-# Runs real entry processes under injected faults. 50 seeds take half an hour.
+# Runs real entry processes under faults injected from outside. 50 seeds take half an hour.
 fault-soak:
 	go test ./platform -run TestFaultSoak -v -timeout 0 -faultsoak.seed $(SEED) -faultsoak.runs $(RUNS)
 
--- a/scripts/failures.sh
+++ b/scripts/failures.sh
@@ -68,7 +68,7 @@
 
 # Freeze an entry instance while a key is withdrawn.
 signal entry-b STOP
-check "withdraw a key with a frozen entry" cli key withdraw --Entry http://127.0.0.1:18101 $OPERATOR --ID k1
+check "withdraw a key while an entry is frozen" cli key withdraw --Entry http://127.0.0.1:18101 $OPERATOR --ID k1
 signal entry-b CONT
 check "the resumed entry refuses the withdrawn key" fails cli ask --Entry http://127.0.0.1:18102 --KeyFile "$RUN/team.key" --Model menu-7b x
 cli key grant --Entry http://127.0.0.1:18101 $OPERATOR --Team tabline --ID k2 >"$RUN/team.key" 2>/dev/null
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Compares requests through an entry instance with direct requests to the same stand-in engine: added latency with
-# 1 to 200 streams, CPU time, and memory with 100 to 800 open streams.
+# Compares requests through an entry instance with direct requests to the same stand-in engine, in one run: latency
+# with 1 to 200 streams. Also prints the CPU time of the entry, and its memory with 0 to 800 open streams.
 set -eu
 cd "$(dirname "$0")/.."
 . scripts/site.sh
--- a/scripts/site.sh
+++ b/scripts/site.sh
@@ -42,7 +42,7 @@
   wait_for_members 3
 }
 
-# wait_for_members COUNT waits about 30 s at most until COUNT entry instances are listed as addresses.
+# wait_for_members COUNT waits until the addresses of COUNT entry instances are listed, for about 30 s at most.
 wait_for_members() {
   local tries=0 count=0
   while [ "$tries" -lt 150 ]; do
@@ -55,7 +55,7 @@
   return 1
 }
 
-# stop_site terminates all processes that still run, and kills those that have not ended after 10 s.
+# stop_site resumes and terminates all processes that still run, and kills those that have not ended after 10 s.
 stop_site() {
   local pid
   for pid in $PIDS; do
