--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -30,7 +30,7 @@
 	Leaving  bool
 }
 
-// TargetInput is the input of PlanTargets; NeededEngines is the demand in fully busy targets.
+// TargetInput is the input of PlanTargets; NeededEngines is the demand in fully busy engines.
 type TargetInput struct {
 	Zones          []identifier.ZoneID
 	Targets        []TargetState
