--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -178,7 +178,7 @@
 func (c *Coordinator) wireRequests() {
 	bounds := c.bounds
 	c.retryBudget = &retrier.WindowedBudget{
-		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
+		Share: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
 		MemberCount: c.instanceCount,
 	}
 	c.forward = &forwarder.Forwarder{
--- a/internal/retrier/windowed.go
+++ b/internal/retrier/windowed.go
@@ -18,10 +18,10 @@
 // WindowedBudget is one instance's share of a retry budget that all instances have in common; its exported fields must
 // be set before use.
 //
-// In any window the retries of all instances stay under Ratio times the requests plus Slack: each instance may use
-// Ratio times its own requests plus an equal share of Slack.
+// In any window the retries of all instances stay under Share times the requests plus Slack: each instance may use
+// Share times its own requests plus an equal share of Slack.
 type WindowedBudget struct {
-	Ratio       float64
+	Share       float64
 	Slack       float64
 	Window      time.Duration
 	MemberCount func() int
@@ -50,7 +50,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.slide(service, time.Now())
-	allowed := safetyFactor * (w.Ratio*sum(s.requests) + w.Slack/float64(max(1, w.MemberCount())))
+	allowed := safetyFactor * (w.Share*sum(s.requests) + w.Slack/float64(max(1, w.MemberCount())))
 	if sum(s.retries)+1 > allowed {
 		return false
 	}
--- a/internal/retrier/windowed_test.go
+++ b/internal/retrier/windowed_test.go
@@ -14,10 +14,10 @@
 // together stay within the budget in every window, and that the budget is used.
 func TestWindowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const members, ratio, slack = 8, 0.2, 56.0
+		const members, share, slack = 8, 0.2, 56.0
 		var budgets []*retrier.WindowedBudget
 		for range members {
-			budgets = append(budgets, &retrier.WindowedBudget{Ratio: ratio, Slack: slack, Window: 10 * time.Second, MemberCount: func() int { return members }})
+			budgets = append(budgets, &retrier.WindowedBudget{Share: share, Slack: slack, Window: 10 * time.Second, MemberCount: func() int { return members }})
 		}
 		var requests, retries []int
 		for tick := range 600 {
@@ -41,7 +41,7 @@
 		}
 		total := 0
 		for from := 0; from+100 <= len(retries); from++ {
-			allowed := ratio*float64(sum(requests[from:from+100])) + slack
+			allowed := share*float64(sum(requests[from:from+100])) + slack
 			got := sum(retries[from : from+100])
 			quicktest.Assert(t, float64(got) <= allowed, quicktest.IsTrue, quicktest.Commentf("%d retries in the window from %d, %.0f allowed", got, from, allowed))
 			total = max(total, got)
