--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -60,7 +60,7 @@
 	Members       MemberTopic
 	Duties        elector.Log
 	Backend       forwarder.Backend
-	Commander     scaler.Commander
+	OrderSender   scaler.OrderSender
 	// Usage and Scaling are nil on a platform without usage reports and scaling.
 	Usage   reporter.UsagePlatform
 	Scaling scaler.TargetPlatform
@@ -166,7 +166,7 @@
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.stageController = &scaler.StageController{
-		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.targetScaler.ScalingDown,
+		Holder: c.self.ID, DutyLease: c.elector, OrderSender: c.platform.OrderSender, ScalingDown: c.targetScaler.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windowReporter = &reporter.WindowReporter{
--- a/internal/scaler/scaler_test.go
+++ b/internal/scaler/scaler_test.go
@@ -149,7 +149,7 @@
 			getTable := func() *matcher.Table { return table }
 			targetScaler := &scaler.Scaler{DutyLease: fakeLease{}, Platform: f, Table: getTable, Targets: f.list, Serving: f.serving, Load: load, Logger: zap.NewNop()}
 			controller := &scaler.StageController{
-				Holder: "h", DutyLease: fakeLease{}, Commander: f, Table: getTable, Targets: f.list, ScalingDown: targetScaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
+				Holder: "h", DutyLease: fakeLease{}, OrderSender: f, Table: getTable, Targets: f.list, ScalingDown: targetScaler.ScalingDown, Announce: func() {}, Logger: zap.NewNop(),
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			var group sync.WaitGroup
--- a/internal/scaler/stages.go
+++ b/internal/scaler/stages.go
@@ -37,8 +37,8 @@
 	Cheap   bool
 }
 
-// Commander sends stage orders to targets.
-type Commander interface {
+// OrderSender sends stage orders to targets.
+type OrderSender interface {
 	// Accepted returns the number of orders that the target has accepted.
 	Accepted(ctx context.Context, t *registrar.Target) (uint64, error)
 	Order(ctx context.Context, t *registrar.Target, o Order) error
@@ -64,11 +64,11 @@
 
 // StageController controls the stages of all model targets; exported fields must be set.
 type StageController struct {
-	Holder    string
-	DutyLease DutyLease
-	Commander Commander
-	Table     func() *matcher.Table
-	Targets   func(service identifier.ServiceID) []*registrar.Target
+	Holder      string
+	DutyLease   DutyLease
+	OrderSender OrderSender
+	Table       func() *matcher.Table
+	Targets     func(service identifier.ServiceID) []*registrar.Target
 	// ScalingDown reports whether targets of a service are being withdrawn, which may include one in the decode stage.
 	ScalingDown func(service identifier.ServiceID) bool
 	// Announce reports Pending to the other instances at once.
@@ -214,7 +214,7 @@
 	}
 	var sent Order
 	err := c.DutyLease.WithLease(ctx, func(ctx context.Context, fence identifier.Fence) error {
-		expected, err := c.Commander.Accepted(ctx, t)
+		expected, err := c.OrderSender.Accepted(ctx, t)
 		if err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 			return elector.ErrNotHolder
 		}
 		sent = Order{Stage: stage, Holder: c.Holder, Fence: fence, Expected: expected}
-		return c.Commander.Order(ctx, t, sent)
+		return c.OrderSender.Order(ctx, t, sent)
 	})
 	c.Logger.Info("stage ordered", zap.String("Target", string(t.ID)), zap.Stringer("Stage", stage), zap.Stringer("Was", t.Stage),
 		zap.Uint64("Fence", uint64(sent.Fence)), zap.Uint64("Expected", sent.Expected), zap.Error(err))
