--- a/internal/commander/options.go
+++ b/internal/commander/options.go
@@ -21,7 +21,7 @@
 	Stdout io.Writer
 	Stderr io.Writer
 	HTTP   *http.Client
-	// Stop is cancelled when the process is asked to stop.
+	// Stop is canceled when the process is asked to stop.
 	Stop context.Context
 }
 
--- a/internal/coordinator/constants.go
+++ b/internal/coordinator/constants.go
@@ -44,7 +44,7 @@
 	settingsInterval = time.Second
 	// leaveTime is how long a leaving instance still accepts requests, because clients keep its address for a while.
 	leaveTime = 2500 * time.Millisecond
-	// stopMargin is the part of the grace period that is reserved for the exit of the process.
+	// stopMargin is the time at the end of the grace period that is reserved for the exit of the process.
 	stopMargin = 700 * time.Millisecond
 	// memoryLimitFraction is the fraction of the instance's memory that becomes the soft memory limit of the runtime.
 	memoryLimitFraction = 0.7
@@ -52,7 +52,7 @@
 	bodyMemoryDivisor = 8
 	// reservedDescriptors is the number of file descriptors that client connections may not use.
 	reservedDescriptors = 600
-	// incarnationDigits is the length of the random id of an incarnation; it is short because gossip messages carry
+	// incarnationDigits is the length of the random ID of an incarnation; it is short because gossip messages carry
 	// many.
 	incarnationDigits = 8
 	// AddressLifetime is how long clients may cache a response of the directory; a site may set a shorter time.
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -73,7 +73,7 @@
 	parts, counts cursor
 }
 
-// addChanges adds the prompt parts that were prefilled since the last message, and the counts that changed since the
+// addChanges adds the prompt parts that were recorded since the last message, and the counts that changed since the
 // last message but one.
 func (c *Coordinator) addChanges(b *gossiper.Beat, peer *gossiper.Member) {
 	c.mu.Lock()
@@ -173,7 +173,7 @@
 	m.Apply(records, identifier.Offset(s.Next), asOf)
 }
 
-// rank returns the number of live and ready instances that come before this one, by descending capacity, then by id.
+// rank returns the number of live and ready instances that come before this one, by descending capacity, then by ID.
 func (c *Coordinator) rank() int {
 	n := 0
 	for _, p := range c.peers.Alive(time.Now()) {
--- a/internal/director/director_test.go
+++ b/internal/director/director_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestLowCapacityInstancesAreOfferedLess checks that an instance with a tenth of the median capacity is offered in about a
-// tenth of the responses, so that clients, which pick at random, don't overload it.
+// tenth of the responses, so that clients, which pick at random, do not overload it.
 func TestLowCapacityInstancesAreOfferedLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	offered := map[string]int{}
--- a/internal/forwarder/backend.go
+++ b/internal/forwarder/backend.go
@@ -36,7 +36,7 @@
 	// Header contains only the headers that may be forwarded to a target.
 	Header http.Header
 	Body   Body
-	// LastEvent is the id of the last event that the client received, or empty.
+	// LastEvent is the ID of the last event that the client received, or empty.
 	LastEvent string
 	// Parts are the parts of the prompt; AnswerTokens is the maximum number of tokens to generate.
 	Parts        []chooser.Part
@@ -59,7 +59,7 @@
 	EffectivePriority int
 	// Source is the handle of the prompt's KV cache, or nil if no other target prefilled the prompt.
 	Source *KVHandle
-	// LastEvent is the id of the event after which the stream resumes, or empty.
+	// LastEvent is the ID of the event after which the stream resumes, or empty.
 	LastEvent string
 	// Connections is the maximum number of connections from this instance to the target; zero means no limit.
 	Connections int
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -136,7 +136,7 @@
 		j.logServed()
 		return
 	}
-	// The client has left. Its connection is closed so that a partial response can't look complete.
+	// The client has left. Its connection is closed so that a partial response cannot look complete.
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		j.logRefusal("client left", refusal)
 		panic(http.ErrAbortHandler)
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// advance moves the stream's position to an event; it fails if the event's id is not higher than the last one. An event
-// without a numeric id leaves the position unchanged.
+// advance moves the stream's position to an event; it fails if the event's ID is not higher than the last one. An event
+// without a numeric ID leaves the position unchanged.
 func (s *stream) advance(event []byte) error {
 	id, ok := eventID(event)
 	if !ok {
@@ -93,7 +93,7 @@
 	}
 }
 
-// eventID returns the numeric id of an event, or false if it has none.
+// eventID returns the numeric ID of an event, or false if it has none.
 func eventID(event []byte) (int, bool) {
 	for _, line := range strings.Split(string(event), "\n") {
 		if value, ok := strings.CutPrefix(line, "id:"); ok {
--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -83,7 +83,7 @@
 		if j.attempts == 0 && len(j.failedTargets) == 0 {
 			j.f.RecordDemand(j.service, promptChoice.Uncached, time.Now())
 		}
-		// The first prefill of a request doesn't count against the retry budget.
+		// The first prefill of a request does not count against the retry budget.
 		if j.prefills > 0 && !j.f.Budget.TakeRetry(j.service) {
 			return nil, nil, j.adjustRefusal(refuseNotRun("RetryBudgetSpent", defaultRetryAfter, nil))
 		}
@@ -148,7 +148,7 @@
 	return handle, nil
 }
 
-// free releases a handle in the background, so that the request doesn't wait for it.
+// free releases a handle in the background, so that the request does not wait for it.
 func (j *job) free(handle *KVHandle) {
 	if handle == nil {
 		return
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -52,7 +52,7 @@
 
 // Gossiper exchanges gossip messages with its partners; exported fields must be set before Run.
 //
-// Each exchange carries a message in both directions. The partner with the smaller id makes the call; the other one
+// Each exchange carries a message in both directions. The partner with the smaller ID makes the call; the other one
 // calls only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
 	Self   *Member
@@ -170,7 +170,7 @@
 	}
 }
 
-// Alive returns the peers whose status is recent, in the order of their ids.
+// Alive returns the peers whose status is recent, in the order of their IDs.
 func (g *Gossiper) Alive(now time.Time) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -13,7 +13,7 @@
 // highest capacity in each availability zone are hubs: the partners of an instance are the hubs of its zone, and all
 // hubs are partners of each other. An instance with far less capacity than the strongest one is never a hub, because
 // gossip messages would saturate its link. The instances of a zone without a hub use two hubs of other zones, selected
-// by a hash of the ids. Hubs relay the statuses of other instances, each status once to each partner. The message rate
+// by a hash of the IDs. Hubs relay the statuses of other instances, each status once to each partner. The message rate
 // of an instance therefore does not grow with the fleet, that of a hub grows with its zone, and few messages cross
 // zones. Each instance computes the hubs from its own view; while views differ, an instance may have a partner more or
 // less.
@@ -48,7 +48,7 @@
 }
 
 // callDue reports whether this instance calls a peer now, and the pause before the next check. Of two partners the one
-// with the smaller id calls; the other one calls if it has received no message for three intervals.
+// with the smaller ID calls; the other one calls if it has received no message for three intervals.
 func (g *Gossiper) callDue(p *peer, now time.Time) (bool, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +105,7 @@
 	return g.Self.Zone
 }
 
-// currentHubs returns the ids of the hubs of all zones. The caller must hold mu.
+// currentHubs returns the IDs of the hubs of all zones. The caller must hold mu.
 func (g *Gossiper) currentHubs(now time.Time) map[string]bool {
 	if g.hubs != nil && now.Sub(g.hubsAt) < hubsCacheTime {
 		return g.hubs
@@ -135,7 +135,7 @@
 	return g.hubs
 }
 
-// compare orders instances by descending capacity, then by id. The caller must hold mu.
+// compare orders instances by descending capacity, then by ID. The caller must hold mu.
 func (g *Gossiper) compare(a, b string) int {
 	return cmp.Or(cmp.Compare(g.capacity(b), g.capacity(a)), cmp.Compare(a, b))
 }
--- a/internal/imitator/control.go
+++ b/internal/imitator/control.go
@@ -66,7 +66,7 @@
 }
 
 // order applies a role or model order. An order with a stale fencing number is refused only if ChecksFence is set; an
-// order without an id only raises the fencing number.
+// order without an ID only raises the fencing number.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o chatter.EngineOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
--- a/internal/placer/fleet_test.go
+++ b/internal/placer/fleet_test.go
@@ -82,7 +82,7 @@
 	list[0].Cheap = true
 	quicktest.Assert(t, placer.PlanStages(list, 1)[0].ID, quicktest.Equals, identifier.TargetID("b"))
 
-	// Engines that are still changing to decode don't replace one that decodes.
+	// Engines that are still changing to decode do not replace one that decodes.
 	list = stageEngines("AAAPPP", "xyz")
 	list[1].Busy, list[2].Busy = true, true
 	quicktest.Assert(t, placer.PlanStages(list, 1), quicktest.HasLen, 0)
--- a/internal/placer/split.go
+++ b/internal/placer/split.go
@@ -62,7 +62,7 @@
 		byZone[e.Zone]++
 		changes = append(changes, change(e, registrar.Answers))
 	}
-	// Engines that are still changing to decode don't count: they serve no answers yet.
+	// Engines that are still changing to decode do not count: they serve no answers yet.
 	for ; ready > wanted; ready-- {
 		e := pick(engines, registrar.Answers, func(a StageEngine) int { return -byZone[a.Zone] })
 		if e == nil {
@@ -118,7 +118,7 @@
 	return 0
 }
 
-// SortEngines sorts engines by id, so that PlanStages is deterministic.
+// SortEngines sorts engines by ID, so that PlanStages is deterministic.
 func SortEngines(engines []StageEngine) {
 	slices.SortFunc(engines, func(a, b StageEngine) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -52,7 +52,7 @@
 	wanted := max(minimumTargets, in.NeededEngines*in.SurvivingShare/plannedUtilization)
 	remaining := surviving(in.Targets)
 	switch {
-	case float64(remaining) < math.Ceil(wanted) && countStaying(in.Targets) < in.Maximum:
+	case float64(remaining) < math.Ceil(wanted) && countNotLeaving(in.Targets) < in.Maximum:
 		zone := emptiestZone(in)
 		if zone == "" {
 			return nil
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func countStaying(targets []TargetState) int {
+func countNotLeaving(targets []TargetState) int {
 	n := 0
 	for _, t := range targets {
 		if !t.Leaving {
@@ -81,7 +81,7 @@
 	for _, n := range byZone {
 		worst = max(worst, n)
 	}
-	return countStaying(targets) - worst
+	return countNotLeaving(targets) - worst
 }
 
 func countZones(targets []TargetState) map[identifier.ZoneID]int {
@@ -113,7 +113,7 @@
 			cheap++
 		}
 	}
-	return float64(cheap+1) <= in.CheapShare*float64(countStaying(in.Targets)+1)
+	return float64(cheap+1) <= in.CheapShare*float64(countNotLeaving(in.Targets)+1)
 }
 
 // withdrawOne withdraws an acquired target of the zone with the most targets, regular ones first.
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// Targets returns an immutable snapshot of all targets, sorted by id.
+// Targets returns an immutable snapshot of all targets, sorted by ID.
 func (r *Registrar) Targets() []*Target {
 	list := r.list.Load()
 	if list == nil {
--- a/internal/relayer/chat.go
+++ b/internal/relayer/chat.go
@@ -301,7 +301,7 @@
 	}
 }
 
-// withStallTimeout returns a context that is cancelled after the duration first unless the returned function is called
+// withStallTimeout returns a context that is canceled after the duration first unless the returned function is called
 // before; each call restarts the timer with the given duration.
 func withStallTimeout(ctx context.Context, first time.Duration) (context.Context, func(next time.Duration), context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -89,8 +89,8 @@
 	s.answer(v, answer)
 }
 
-// dispatch records that this instance will send the call. It returns the id of the record if the call may be sent.
-// Otherwise the id is empty, and either a refusal is returned or the caller has been answered from the journal.
+// dispatch records that this instance will send the call. It returns the ID of the record if the call may be sent.
+// Otherwise the ID is empty, and either a refusal is returned or the caller has been answered from the journal.
 func (s *Relayer) dispatch(v *serviceCall, key, digest string) (string, *refuser.Refusal) {
 	record := s.Journal.NewRecord()
 	record.Body = &recorder.Record_Dispatch{Dispatch: &recorder.Dispatch{Key: key, Digest: digest}}
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -31,7 +31,7 @@
 	Entry(key string) *recorder.JournalEntry
 	// Commit appends a record and returns once it has been read back.
 	Commit(ctx context.Context, r *recorder.Record) error
-	// NewRecord returns a record of this writer with a new id.
+	// NewRecord returns a record of this writer with a new ID.
 	NewRecord() *recorder.Record
 }
 
@@ -69,7 +69,7 @@
 	sent atomic.Bool
 }
 
-// newCall assigns a request its id and a logger with that id.
+// newCall assigns a request its ID and a logger with that ID.
 func (s *Relayer) newCall(w http.ResponseWriter, r *http.Request) *call {
 	id := identifier.RequestID(uuid.NewString())
 	w.Header().Set("X-Request-Id", string(id))
--- a/internal/runner/journal.go
+++ b/internal/runner/journal.go
@@ -25,5 +25,5 @@
 	return j.e.committer.Commit(ctx, r)
 }
 
-// NewRecord returns a record of this incarnation with a new id.
+// NewRecord returns a record of this incarnation with a new ID.
 func (j relayerJournal) NewRecord() *recorder.Record { return j.e.journal.NewRecord() }
--- a/internal/runner/placement.go
+++ b/internal/runner/placement.go
@@ -165,7 +165,7 @@
 	return time.Since(p.refusedAt[id]) < refusedOrderBackoff
 }
 
-// newTargetID returns the placeholder id of a target to be ordered. There is one id per model and zone, because the
+// newTargetID returns the placeholder ID of a target to be ordered. There is one ID per model and zone, because the
 // platform takes one order per model and zone at a time.
 func newTargetID(model identifier.ModelID, zone string) identifier.TargetID {
 	return identifier.TargetID("new/" + string(model) + "/" + zone)
--- a/internal/runner/site_test.go
+++ b/internal/runner/site_test.go
@@ -77,7 +77,7 @@
 }
 
 // inBubble runs f with a site in a synctest bubble. The garbage collections empty the pools of the libraries,
-// so that bubbles don't share pooled objects.
+// so that bubbles do not share pooled objects.
 func inBubble(t *testing.T, f func(t *testing.T, s *site)) {
 	runtime.GC()
 	runtime.GC()
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -61,7 +61,7 @@
 }
 
 // mirrorPeers returns the other members in order of preference: members that are neither silent nor leaving before the
-// rest, then members of other zones before those of this zone, then by id.
+// rest, then members of other zones before those of this zone, then by ID.
 func (e *Entry) mirrorPeers() []*recorder.Member {
 	var list []*recorder.Member
 	for id, m := range e.view.Load().State.GetMembers() {
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -63,7 +63,7 @@
 	mu sync.Mutex
 	// changed is closed at the next change of the fold; it is nil while nobody waits.
 	changed chan struct{}
-	// pending holds the appended records that were not yet read back, by record id.
+	// pending holds the appended records that were not yet read back, by record ID.
 	pending     map[string]*readBack
 	freshAt     time.Time
 	reachable   bool
@@ -180,7 +180,7 @@
 	}
 }
 
-// NewRecord returns an empty record with this writer and a new id.
+// NewRecord returns an empty record with this writer and a new ID.
 func (t *Tailer) NewRecord() *recorder.Record {
 	return &recorder.Record{ID: uuid.NewString(), Writer: string(t.Writer)}
 }
--- a/pkg/identifier/doc.go
+++ b/pkg/identifier/doc.go
@@ -1,2 +1,2 @@
-// Package identifier defines the types for ids and units that all packages of coltsfootscale use.
+// Package identifier defines the types for IDs and units that all packages of coltsfootscale use.
 package identifier
