--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -152,7 +152,7 @@
 	c.peerClient = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.peerClient, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
+	c.peers = &gossiper.Gossiper{Self: c.self, PeerClient: c.peerClient, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
 }
 
 func (c *Coordinator) wireDuties() {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -34,8 +34,8 @@
 	batchDelay = 10 * time.Millisecond
 )
 
-// Caller exchanges one message with a peer.
-type Caller interface {
+// PeerClient exchanges messages with peers.
+type PeerClient interface {
 	Exchange(ctx context.Context, addr string, req, reply proto.Message) error
 }
 
@@ -56,7 +56,7 @@
 // calls only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
 	Self   *Member
-	Caller Caller
+	PeerClient PeerClient
 	Logger *zap.Logger
 	// Status returns the current status of this instance.
 	Status func(now time.Time) *Status
@@ -145,7 +145,7 @@
 	reply := &Beat{}
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
-	if err := g.Caller.Exchange(ctx, addr, g.compose(nil), reply); err != nil {
+	if err := g.PeerClient.Exchange(ctx, addr, g.compose(nil), reply); err != nil {
 		return err
 	}
 	g.receive(reply)
@@ -320,7 +320,7 @@
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
 	reply := &Beat{}
-	if err := g.Caller.Exchange(ctx, p.Member.PeerAddress, g.compose(p), reply); err != nil {
+	if err := g.PeerClient.Exchange(ctx, p.Member.PeerAddress, g.compose(p), reply); err != nil {
 		return err
 	}
 	g.receive(reply)
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -61,7 +61,7 @@
 	}
 	n := &node{fleet: f, done: make(chan struct{})}
 	n.Gossiper = &gossiper.Gossiper{
-		Self: self, Caller: n, Logger: zap.NewNop(),
+		Self: self, PeerClient: n, Logger: zap.NewNop(),
 		Status: func(now time.Time) *gossiper.Status {
 			return &gossiper.Status{Ready: true, UnixMilliseconds: now.UnixMilli()}
 		},
