--- a/internal/observer/observer.go
+++ b/internal/observer/observer.go
@@ -14,17 +14,17 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// Caller sends requests to peers.
-type Caller interface {
+// PeerClient sends requests to peers.
+type PeerClient interface {
 	Call(ctx context.Context, addr string, req *messenger.Request) (*messenger.Reply, error)
 }
 
 // Observer keeps the last heartbeat of each member; all exported fields must be set.
 type Observer struct {
-	Self     *recorder.Member
-	Config   *tailer.Tailer
-	Caller   Caller
-	Interval time.Duration
+	Self       *recorder.Member
+	Config     *tailer.Tailer
+	PeerClient PeerClient
+	Interval   time.Duration
 	// Members returns the members by instance, as in the configuration in force.
 	Members func() map[string]*recorder.Member
 	// LocalHeartbeat returns this instance's heartbeat.
@@ -88,7 +88,7 @@
 	defer cancel()
 	sentAt := time.Now()
 	req := &messenger.Request{Body: &messenger.Request_Heartbeat{Heartbeat: o.LocalHeartbeat()}}
-	reply, err := o.Caller.Call(ctx, m.PeerAddress, req)
+	reply, err := o.PeerClient.Call(ctx, m.PeerAddress, req)
 	if err != nil || reply.Heartbeat == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 	}
 	sentAt = time.Now()
 	req := &messenger.Request{Body: &messenger.Request_Fetch{Fetch: &messenger.Fetch{From: uint64(o.Config.Next())}}}
-	reply, err := o.Caller.Call(ctx, m.PeerAddress, req)
+	reply, err := o.PeerClient.Call(ctx, m.PeerAddress, req)
 	if err != nil || reply.Checkpoint == nil || reply.Heartbeat == nil {
 		return
 	}
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -173,7 +173,7 @@
 func (e *Entry) wirePeers() {
 	e.peers = &exchanger.Client{Dial: e.network.Dial, Logger: e.logger}
 	e.observer = &observer.Observer{
-		Self: e.member, Config: e.config, Caller: e.peers, Interval: e.settings.Timing.Heartbeat,
+		Self: e.member, Config: e.config, PeerClient: e.peers, Interval: e.settings.Timing.Heartbeat,
 		Members:        func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
 		LocalHeartbeat: e.heartbeat,
 	}
