--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -41,7 +41,7 @@
 	Logger *zap.Logger
 	// MaximumAge returns the age of the mirror at which this instance reads the store itself.
 	MaximumAge func() time.Duration
-	// Wait is how long the store may delay its answer to a read while there are no new records; zero disables waiting.
+	// Wait is how long the store may delay its response to a read while there are no new records; zero disables waiting.
 	Wait time.Duration
 
 	// expired is set if the store no longer retains the records after the mirror's, so that the newest of each key must
--- a/internal/forwarder/plain.go
+++ b/internal/forwarder/plain.go
@@ -80,8 +80,8 @@
 	return j.route.Kind == matcher.Safe && r.Status >= http.StatusInternalServerError
 }
 
-// countFailedAttempt updates the counts after a failed attempt: an attempt that was not sent does not count, and one with
-// an unknown outcome counts the request as started.
+// countFailedAttempt updates the counts after a failed attempt: an attempt that was not sent does not count, and one
+// with an unknown outcome counts the request as started.
 func (j *job) countFailedAttempt(err error) {
 	switch {
 	case errors.Is(err, ErrNotSent):
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -55,9 +55,9 @@
 // Each exchange carries a message in both directions. The partner with the smaller ID makes the call; the other one
 // calls only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
-	Self   *Member
+	Self       *Member
 	PeerClient PeerClient
-	Logger *zap.Logger
+	Logger     *zap.Logger
 	// Status returns the current status of this instance.
 	Status func(now time.Time) *Status
 	// AddPayload adds everything except statuses and membership to the message b for a peer. last is the last message
