--- a/internal/evaluator/exchange_test.go
+++ b/internal/evaluator/exchange_test.go
@@ -84,7 +84,7 @@
 	body := []byte(page.String())
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(body) }))
 	defer srv.Close()
-	log := &provider.Provider{Base: srv.URL, HTTP: srv.Client()}
+	log := &provider.Provider{BaseURL: srv.URL, HTTP: srv.Client()}
 	const rounds = 40
 	before := cpuMicroseconds()
 	for range rounds {
--- a/internal/leaseholder/leaseholder_test.go
+++ b/internal/leaseholder/leaseholder_test.go
@@ -41,7 +41,7 @@
 			client := networker.Client(network.Host(name), true)
 			clients = append(clients, client)
 			fold := &authorizer.Fold{}
-			control := &tailer.Tailer{Stream: "Control", Log: &provider.Provider{Base: "http://platform:1", HTTP: client}, Fold: fold}
+			control := &tailer.Tailer{Stream: "Control", Log: &provider.Provider{BaseURL: "http://platform:1", HTTP: client}, Fold: fold}
 			h := &leaseholder.Holder{Scope: "Fleet", ID: name, Control: control, Fold: fold, Lease: lease, DriftMargin: 500 * time.Millisecond, Logger: zap.NewNop()}
 			if i > 0 {
 				h.Lease = contenderLease
--- a/internal/provider/provider.go
+++ b/internal/provider/provider.go
@@ -99,9 +99,9 @@
 
 // Provider is a client of the platform; HTTP must be set.
 type Provider struct {
-	// Base is the base URL of the platform.
-	Base string
-	HTTP *http.Client
+	// BaseURL is the base URL of the platform.
+	BaseURL string
+	HTTP    *http.Client
 }
 
 // Append appends records to a stream and returns the offset of the first. After ErrUnavailable the outcome is unknown.
@@ -151,7 +151,7 @@
 		}
 		body = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, p.Base+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, p.BaseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -118,7 +118,7 @@
 	}
 	e.http = networker.Client(network, true)
 	e.noKeepAliveHTTP = networker.Client(network, false)
-	e.platform = &provider.Provider{Base: settings.Platform, HTTP: e.http}
+	e.platform = &provider.Provider{BaseURL: settings.Platform, HTTP: e.http}
 	e.view.Store(configurator.NewView(&recorder.ConfigState{}))
 	e.wireStreams()
 	e.wirePeers()
