--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -86,7 +86,7 @@
 	leaveOnce       sync.Once
 	stopping        atomic.Int64 // Unix nanoseconds at which a planned stop began to wait for open requests
 	inFlight        atomic.Int64
-	peers           *exchanger.Client
+	peerClient      *exchanger.Client
 	observer        *observer.Observer
 	admin           *administrator.Administrator
 	tracker         *tracker.Tracker
@@ -171,9 +171,9 @@
 }
 
 func (e *Entry) wirePeers() {
-	e.peers = &exchanger.Client{Dial: e.network.Dial, Logger: e.logger}
+	e.peerClient = &exchanger.Client{Dial: e.network.Dial, Logger: e.logger}
 	e.observer = &observer.Observer{
-		Self: e.member, Config: e.config, PeerClient: e.peers, Interval: e.settings.Timing.Heartbeat,
+		Self: e.member, Config: e.config, PeerClient: e.peerClient, Interval: e.settings.Timing.Heartbeat,
 		Members:        func() map[string]*recorder.Member { return e.view.Load().State.GetMembers() },
 		LocalHeartbeat: e.heartbeat,
 	}
@@ -239,7 +239,7 @@
 	}
 	cancel()
 	group.Wait()
-	e.peers.Close()
+	e.peerClient.Close()
 	e.http.CloseIdleConnections()
 	return err
 }
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -56,7 +56,7 @@
 func (e *Entry) sendHold(ctx context.Context, m *recorder.Member, req *messenger.Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, mirrorTimeout)
 	defer cancel()
-	_, err := e.peers.Call(ctx, m.PeerAddress, req)
+	_, err := e.peerClient.Call(ctx, m.PeerAddress, req)
 	return err == nil
 }
 
