--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -29,8 +29,8 @@
 	duplicateFraction = 0.5
 	// answerCost is how much one more answer slows down the rest of the batch.
 	answerCost = 8 * time.Millisecond
-	// coldCost is the cost of a target that has just started; it declines to zero in the last second of the warm-up.
-	coldCost = 150 * time.Millisecond
+	// warmUpCost is the cost of a target that has just started; it declines to zero in the last second of the warm-up.
+	warmUpCost = 150 * time.Millisecond
 	// failureCost is the cost of each point of the failure score.
 	failureCost = 250 * time.Millisecond
 )
@@ -74,7 +74,7 @@
 	if j.MaximumJitter <= 0 {
 		return 0
 	}
-	return time.Duration(mix(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.MaximumJitter))
+	return time.Duration(mixBits(j.Seed^xxhash.Sum64String(string(t.ID))) % uint64(j.MaximumJitter))
 }
 
 // Prompt describes a prompt for the choice of its target.
@@ -188,8 +188,8 @@
 	if c.Target.Zone != zone {
 		cost += crossZoneCost
 	}
-	if cold := c.Target.WarmUpRemaining - c.Age; cold > 0 {
-		cost += time.Duration(float64(coldCost) * min(1, cold.Seconds()))
+	if warmUp := c.Target.WarmUpRemaining - c.Age; warmUp > 0 {
+		cost += time.Duration(float64(warmUpCost) * min(1, warmUp.Seconds()))
 	}
 	return cost
 }
@@ -202,11 +202,11 @@
 	}
 	chain := uint64(0)
 	for _, part := range p.Parts[:len(p.Parts)-1] {
-		chain = mix(chain ^ uint64(part.ID))
+		chain = mixBits(chain ^ uint64(part.ID))
 	}
 	best, highest := -1, uint64(0)
 	for i := range candidates {
-		weight := mix(chain ^ xxhash.Sum64String(string(candidates[i].Target.ID)))
+		weight := mixBits(chain ^ xxhash.Sum64String(string(candidates[i].Target.ID)))
 		if best < 0 || weight > highest {
 			best, highest = i, weight
 		}
@@ -214,8 +214,8 @@
 	return best
 }
 
-// mix spreads the bits of a hash (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits mixes the bits of a hash with the finalizer of SplitMix64.
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
