--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -60,7 +60,7 @@
 	Members       MemberTopic
 	Duties        elector.Log
 	Backend       forwarder.Backend
-	Commander     scaler.Commander
+	OrderSender   scaler.OrderSender
 	// Usage and Scaling are nil on a platform without usage reports and scaling.
 	Usage   reporter.UsagePlatform
 	Scaling scaler.TargetPlatform
@@ -152,7 +152,7 @@
 	c.peerClient = &exchanger.Client{Logger: c.logger, Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	}}
-	c.peers = &gossiper.Gossiper{Self: c.self, Caller: c.peerClient, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
+	c.peers = &gossiper.Gossiper{Self: c.self, PeerClient: c.peerClient, Logger: c.logger, Status: c.status, AddPayload: c.addPayload, OnStatus: c.onStatus, OnMessage: c.onMessage}
 }
 
 func (c *Coordinator) wireDuties() {
@@ -166,7 +166,7 @@
 		Targets: c.registry.NotLeaving, Serving: c.registry.Available, Load: c.demand.Peak, Logger: c.logger,
 	}
 	c.stageController = &scaler.StageController{
-		Holder: c.self.ID, DutyLease: c.elector, Commander: c.platform.Commander, ScalingDown: c.targetScaler.ScalingDown,
+		Holder: c.self.ID, DutyLease: c.elector, OrderSender: c.platform.OrderSender, ScalingDown: c.targetScaler.ScalingDown,
 		Table: c.table.Load, Targets: c.registry.NotLeaving, Announce: c.announceOrders, Logger: c.logger,
 	}
 	c.windowReporter = &reporter.WindowReporter{
@@ -178,7 +178,7 @@
 func (c *Coordinator) wireRequests() {
 	bounds := c.bounds
 	c.retryBudget = &retrier.WindowedBudget{
-		Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
+		Share: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow,
 		MemberCount: c.instanceCount,
 	}
 	c.forward = &forwarder.Forwarder{
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -34,8 +34,8 @@
 	batchDelay = 10 * time.Millisecond
 )
 
-// Caller exchanges one message with a peer.
-type Caller interface {
+// PeerClient exchanges messages with peers.
+type PeerClient interface {
 	Exchange(ctx context.Context, addr string, req, reply proto.Message) error
 }
 
@@ -52,12 +52,12 @@
 
 // Gossiper exchanges gossip messages with its partners; exported fields must be set before Run.
 //
-// Each exchange carries a message in both directions. The partner with the smaller id makes the call; the other one
+// Each exchange carries a message in both directions. The partner with the smaller ID makes the call; the other one
 // calls only if it receives no calls. The partners are selected in topology.go.
 type Gossiper struct {
-	Self   *Member
-	Caller Caller
-	Logger *zap.Logger
+	Self       *Member
+	PeerClient PeerClient
+	Logger     *zap.Logger
 	// Status returns the current status of this instance.
 	Status func(now time.Time) *Status
 	// AddPayload adds everything except statuses and membership to the message b for a peer. last is the last message
@@ -145,7 +145,7 @@
 	reply := &Beat{}
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
-	if err := g.Caller.Exchange(ctx, addr, g.compose(nil), reply); err != nil {
+	if err := g.PeerClient.Exchange(ctx, addr, g.compose(nil), reply); err != nil {
 		return err
 	}
 	g.receive(reply)
@@ -170,7 +170,7 @@
 	}
 }
 
-// Alive returns the peers whose status is recent, in the order of their ids.
+// Alive returns the peers whose status is recent, in the order of their IDs.
 func (g *Gossiper) Alive(now time.Time) []Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -320,7 +320,7 @@
 	ctx, cancel := context.WithTimeout(ctx, ExchangeTimeout)
 	defer cancel()
 	reply := &Beat{}
-	if err := g.Caller.Exchange(ctx, p.Member.PeerAddress, g.compose(p), reply); err != nil {
+	if err := g.PeerClient.Exchange(ctx, p.Member.PeerAddress, g.compose(p), reply); err != nil {
 		return err
 	}
 	g.receive(reply)
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -56,12 +56,12 @@
 func (e *Entry) sendHold(ctx context.Context, m *recorder.Member, req *messenger.Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, mirrorTimeout)
 	defer cancel()
-	_, err := e.peers.Call(ctx, m.PeerAddress, req)
+	_, err := e.peerClient.Call(ctx, m.PeerAddress, req)
 	return err == nil
 }
 
 // mirrorPeers returns the other members in order of preference: members that are neither silent nor leaving before the
-// rest, then members of other zones before those of this zone, then by id.
+// rest, then members of other zones before those of this zone, then by ID.
 func (e *Entry) mirrorPeers() []*recorder.Member {
 	var list []*recorder.Member
 	for id, m := range e.view.Load().State.GetMembers() {
