--- a/internal/forwarder/streamed.go
+++ b/internal/forwarder/streamed.go
@@ -16,7 +16,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/registrar"
 )
 
-// maximumPrefills is the maximum number of targets tried for one prompt.
+// maximumPrefills is the number of prefills of one request after which a failed one is not retried; prefills that were
+// not sent do not count.
 const maximumPrefills = 3
 
 // freeTimeout bounds the release of a KV cache handle; a handle that is not released expires by itself.
@@ -123,7 +124,8 @@
 	return chooser.Jitter{Seed: rand.Uint64(), MaximumJitter: j.f.MaximumJitter()}
 }
 
-// adjustRefusal replaces a refusal that implies that the request has not run if a target may have run it.
+// adjustRefusal checks a refusal that implies that the request has not run, and replaces it if a target may have run the
+// request.
 func (j *job) adjustRefusal(r *Refusal) *Refusal {
 	if j.started {
 		return &Refusal{Status: http.StatusBadGateway, Reason: r.Reason, Err: r.Err}
