--- a/internal/chooser/chooser.go
+++ b/internal/chooser/chooser.go
@@ -22,11 +22,11 @@
 	promptOverhead = 25 * time.Millisecond
 	// crossZoneCost expresses the price of traffic between availability zones as time.
 	crossZoneCost = 40 * time.Millisecond
-	// nonOwnerFraction is the cost of prefilling shared parts on a target that is not their owner, and duplicateFraction
-	// that of prefilling parts that another target has cached, both as a fraction of the prefill time: a part that two
+	// nonOwnerFactor is the cost of prefilling shared parts on a target that is not their owner, and duplicateFactor
+	// that of prefilling parts that another target has cached, both as a multiple of the prefill time: a part that two
 	// targets cache takes up memory twice and evicts other parts.
-	nonOwnerFraction  = 1.3
-	duplicateFraction = 0.5
+	nonOwnerFactor  = 1.3
+	duplicateFactor = 0.5
 	// answerCost is how much one more answer slows down the rest of the batch.
 	answerCost = 8 * time.Millisecond
 	// warmUpCost is the cost of a target that has just started; it declines to zero in the last second of the warm-up.
@@ -132,10 +132,10 @@
 		cost := choice.Predicted + penalty(c, p.Zone)
 		// Most requests share the first parts. A target that has cached only these must not keep the rest from the owner.
 		if mostCached >= sharedTokens {
-			cost += time.Duration(duplicateFraction * float64(prefillTime(mostCached-c.Cached)))
+			cost += time.Duration(duplicateFactor * float64(prefillTime(mostCached-c.Cached)))
 		}
 		if i != owner {
-			cost += time.Duration(nonOwnerFraction * float64(prefillTime(max(0, sharedTokens-c.Cached))))
+			cost += time.Duration(nonOwnerFactor * float64(prefillTime(max(0, sharedTokens-c.Cached))))
 		}
 		cost += p.Jitter.offset(c.Target)
 		if best.Target == nil || cost < bestCost {
