--- a/internal/placer/fleet.go
+++ b/internal/placer/fleet.go
@@ -10,8 +10,8 @@
 
 // Cheap targets cost a fraction of the regular price, but the platform may reclaim all of them in an availability zone
 // at once, and those of a second zone before the first has new ones. The plan therefore has cheap targets in every zone
-// and enough regular ones to carry the load while two zones have no cheap targets. Regular targets are withdrawn only
-// after at least half of the planned cheap targets have arrived.
+// and keeps enough regular ones to carry the load while two zones have no cheap targets. Regular targets are withdrawn
+// only after at least half of the planned cheap targets have arrived.
 
 // headroom is the number of engines per engine of load: prompts arrive in bursts, and the longest prompts occupy an
 // engine for most of the promised latency.
@@ -49,7 +49,7 @@
 	Cheap   int
 }
 
-// PlanFleet returns the number of targets to order in each zone.
+// PlanFleet returns the number of targets that each zone should have.
 func PlanFleet(in FleetInput) []ZonePlan {
 	zones := slices.Clone(in.Zones)
 	slices.SortFunc(zones, func(a, b ZoneFleet) int { return cmp.Compare(a.Zone, b.Zone) })
@@ -69,7 +69,7 @@
 	return plans
 }
 
-// planMixed returns the fewest regular targets that carry the load while two zones have no cheap targets, and enough
+// planMixed keeps the fewest regular targets that carry the load while two zones have no cheap targets, and plans enough
 // cheap targets to carry it while one zone has none.
 func planMixed(in FleetInput, z ZoneFleet, zones int) ZonePlan {
 	needed := in.Load * headroom
--- a/internal/placer/roles.go
+++ b/internal/placer/roles.go
@@ -15,11 +15,12 @@
 //
 // Demand is measured in engines: uncached prompt tokens per second divided by an engine's prefill rate, and output
 // tokens per second divided by its decode rate. A mixed engine runs prefill in chunks between decode steps, so it can
-// spend only a fraction of its time on prefill if tokens are to be on time. While the prefill demand fits into that
-// fraction of all engines, none becomes a prefill engine, because a change takes seconds. Beyond that, enough engines
-// become prefill engines for the remaining prefill to fit. If decode fills the batches so far that any prefill beside
-// it makes tokens late, prefill engines take all prompts. The number of prefill engines changes only when it is off by
-// more than one engine in both the short and the long window.
+// spend only a fraction of its time on prefill if tokens are to be on time. While the prefill demand is at most
+// prefillSplitShare of the fleet, no engine becomes a prefill engine, because a change takes seconds. Beyond that,
+// enough engines become prefill engines for the remaining prefill to fit into that fraction of the mixed engines. If
+// decode fills the batches so far that any prefill beside it makes tokens late, prefill engines take all prompts. The
+// number of prefill engines changes only when it is off by at least toleranceEngines, in the same direction, in both
+// the short and the long window.
 
 const (
 	// mixedPrefillShare is the largest share of a mixed engine's time for prefill.
@@ -128,8 +129,8 @@
 func wantedPrefill(engines []Engine, d Demand, current int) float64 {
 	n := float64(len(engines))
 	prefill, decode := enginesByKind(engines, d)
-	// Demand beyond the fleet's capacity is refused whatever the roles are, so the demand is scaled down to what can be
-	// served.
+	// Demand beyond the fleet's capacity is refused whatever the roles are, so the demand is scaled down, in the same mix,
+	// to what can be served.
 	if utilization := (prefill + decode) / n; utilization > fleetUtilization {
 		prefill *= fleetUtilization / utilization
 		decode *= fleetUtilization / utilization
@@ -158,8 +159,8 @@
 	return decodeSplitShare
 }
 
-// changes returns up to maximumChanges role changes towards the given number of additional prefill engines, or of fewer
-// ones if it is negative. Zones with the fewest engines of the new role come first.
+// changes returns the role changes that add prefill engines, or that return prefill engines to mixed if the number is
+// negative, but at most maximumChanges. Zones with the fewest engines of the new role come first.
 func changes(engines []Engine, additional int) []RoleChange {
 	from, to := recorder.Role_Mixed, recorder.Role_Prefill
 	if additional < 0 {
--- a/internal/placer/zones.go
+++ b/internal/placer/zones.go
@@ -15,8 +15,8 @@
 const (
 	// plannedUtilization is the planned utilization of the targets that remain after the loss of a zone.
 	plannedUtilization = 0.70
-	// withdrawThreshold is the largest fraction of the targets left after a withdrawal that may be needed. It keeps a gap
-	// between the levels at which targets are ordered and withdrawn.
+	// withdrawThreshold limits withdrawals: the needed targets must be at most this fraction of the targets that would
+	// survive the loss of a zone after the withdrawal. The gap to 1 separates the levels for ordering and withdrawing.
 	withdrawThreshold = 0.75
 	minimumTargets    = 1
 )
