--- a/internal/limiter/meter.go
+++ b/internal/limiter/meter.go
@@ -15,7 +15,7 @@
 	averagedAnswers = 32
 )
 
-// RateKey identifies a rate: the team whose requests it counts, empty for refused requests, and the model.
+// RateKey identifies a rate by team and model; the team is empty for refused requests.
 type RateKey struct {
 	Team  identifier.TeamID
 	Model identifier.ModelID
