--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -15,7 +15,7 @@
 	peakHalfLife = 60 * time.Second
 	// peerTimeout is how long a peer's rate counts without an update.
 	peerTimeout = 3 * time.Second
-	// engineTokensPerSecond is the prefill rate of an engine on the users' specification sheets.
+	// engineTokensPerSecond is the prefill rate of one engine, from the users' engine specifications.
 	engineTokensPerSecond = 36_700
 	// idleTokensPerSecond is the rate below which a service counts as idle.
 	idleTokensPerSecond = 1
@@ -43,7 +43,7 @@
 	at   time.Time
 }
 
-// Add counts the prompt tokens that a request needs to prefill.
+// Add counts the prompt tokens that have to be prefilled for a request.
 func (d *Demand) Add(id identifier.ServiceID, tokens identifier.Tokens, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
