--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -27,7 +27,7 @@
 // String returns the stage's name in logs.
 func (s Stage) String() string { return [...]string{"Any", "Prompts", "Answers"}[s] }
 
-// Target is an entry of one incarnation of a target, with the properties that the target reports.
+// Target is one incarnation of a target, with the properties that the target reports in its entry.
 type Target struct {
 	ID      identifier.TargetID
 	Service identifier.ServiceID
