--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,9 +30,11 @@
 	crossZoneDelay     = 2 * time.Millisecond
 	slowStartTime      = 10 * time.Second
 	slowStartCost      = 400 * time.Millisecond
-	stallWeight        = 4.0
-	lateTokensCost     = 500 * time.Millisecond
-	maximumBatchCost   = 800 * time.Millisecond
+	// stallWeight is the cost of a prefill beside a full batch, as a multiple of the prefill time.
+	stallWeight = 4.0
+	// lateTokensCost is the cost if all recent tokens were late, and maximumBatchCost that of a full batch.
+	lateTokensCost   = 500 * time.Millisecond
+	maximumBatchCost = 800 * time.Millisecond
 )
 
 // Cache reports how many leading parts of a prompt a target has cached.
