--- a/internal/arbiter/rule.go
+++ b/internal/arbiter/rule.go
@@ -15,10 +15,12 @@
 // may keep serving for up to the bound, and its acknowledgement is no longer requested.
 //
 // An instance serves until the bound has passed since its configuration was last known to be complete: by its own read
-// of the log, by a peer at the same offset that had read the log, or, where no instance reaches the log, by the replies
-// of a majority of the members, none of which was ahead, that is, at a later offset. Any two majorities share a member.
-// So at least one member that replied either had the accepted change already, and was ahead, or acknowledged it only
-// after its reply; the change then waits for the bound.
+// of the log, by a peer at the same offset that had read the log, or, so that serving continues while no instance
+// reaches the log, by the replies of a majority of the members if no member was ahead, that is, at a later offset. Any
+// two majorities share a member. So at least one member that replied either had the accepted change already, and was
+// ahead, or acknowledged it only after its reply; the change then waits for the bound.
+//
+// Acceptance adds a margin for clock drift to the bound.
 
 // Member is an instance's latest knowledge of one member.
 type Member struct {
