--- a/internal/chatter/completion.go
+++ b/internal/chatter/completion.go
@@ -36,7 +36,7 @@
 	Content string `json:"content"`
 }
 
-// Request holds the fields of a chat completions request that this platform uses.
+// Request holds the fields of a chat completions request that entry instances and engines use.
 type Request struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -131,7 +131,7 @@
 	return hashes
 }
 
-// NewChunk returns a chunk of a streamed response with the given text.
+// NewChunk returns a chunk of a streamed response with the text of one token.
 func NewChunk(id, model, text string) Completion {
 	return Completion{ID: id, Object: "chat.completion.chunk", Model: model, Choices: []Choice{{Delta: &Message{Role: "assistant", Content: text}}}}
 }
