--- a/internal/runner/constants.go
+++ b/internal/runner/constants.go
@@ -43,8 +43,8 @@
 	leaveTimeout            = time.Second
 	shutdownStepTimeout     = 10 * time.Second
 	maximumSharesAge        = 100 * time.Millisecond
-	retryShare              = 0.2
-	retryBurst              = 20
+	retryShare              = 0.2 // retries per request
+	retryBurst              = 20  // retries
 	metricsInterval         = time.Second
 	idleTimeout             = 2 * time.Minute
 	journalBatchRecords     = 256
--- a/internal/runner/core.go
+++ b/internal/runner/core.go
@@ -343,7 +343,8 @@
 	sleeper.Sleep(ctx, e.settings.Timing.AddressLifetime+4*e.settings.Timing.Heartbeat)
 }
 
-// evictSelf removes this instance from the members. It retries until that succeeds or shutdownStepTimeout has passed.
+// evictSelf removes this instance from the members. It retries until the instance is no longer a member or
+// shutdownStepTimeout has passed.
 func (e *Entry) evictSelf(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownStepTimeout)
 	defer cancel()
--- a/internal/runner/once_test.go
+++ b/internal/runner/once_test.go
@@ -13,8 +13,9 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/refuser"
 )
 
-// sweepKillTimes sends calls to an entry, kills the entry at various times from acceptance to answer, repeats each call
-// at another entry, and returns the maximum number of executions of one call.
+// sweepKillTimes sends calls to an entry, kills the entry after a delay that grows in steps of 15 ms from before the
+// acceptance of a call until after its answer, repeats each call at another entry, and returns the maximum number of
+// executions of one call.
 func sweepKillTimes(t *testing.T, rules string) int {
 	maximum := 0
 	inBubble(t, func(t *testing.T, s *site) {
--- a/internal/runner/usage.go
+++ b/internal/runner/usage.go
@@ -13,7 +13,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
 )
 
-// runMirror keeps a copy of the usage that is not in the log yet on a peer, preferably in another zone.
+// runMirror copies the usage that is not in the log yet to a peer, preferably one in another zone.
 func (e *Entry) runMirror(ctx context.Context) {
 	dirty := e.ledger.Dirty()
 	ticker := time.NewTicker(mirrorKeepAliveInterval)
@@ -129,7 +129,8 @@
 	}
 }
 
-// runTakeover appends the mirrored usage of instances that have sent no copy for originSilenceTimeout.
+// runTakeover appends the mirrored usage of instances that have sent neither usage nor keep-alives for
+// originSilenceTimeout.
 func (e *Entry) runTakeover(ctx context.Context) {
 	every(ctx, takeoverInterval, func(ctx context.Context) {
 		if !e.usage.CaughtUp() {
