--- a/internal/evaluator/capacity_test.go
+++ b/internal/evaluator/capacity_test.go
@@ -204,8 +204,8 @@
 	return f
 }
 
-// publishCost returns the time to decode and fold a publish record and to build the view, which each instance does
-// for each configuration change.
+// publishCost returns the time in microseconds to decode and fold a publish record and to build the view, which each
+// instance does for each configuration change.
 func publishCost(teams, targets int) float64 {
 	f := newConfiguration(teams, targets)
 	data, _ := proto.Marshal(newPublish(teams, targets))
--- a/internal/evaluator/exchange_test.go
+++ b/internal/evaluator/exchange_test.go
@@ -20,7 +20,7 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/recorder"
 )
 
-// heartbeatHandler answers every request with the same heartbeat.
+// heartbeatHandler answers every request with the same heartbeat, which carries the rates of some teams.
 type heartbeatHandler struct{ heartbeat *messenger.Heartbeat }
 
 // Handle returns the heartbeat.
--- a/internal/evaluator/traffic_test.go
+++ b/internal/evaluator/traffic_test.go
@@ -116,7 +116,7 @@
 	return teams
 }
 
-// scenarios returns all scenarios. Their fleets have the size of the users' sites.
+// scenarios returns the situations that the users' sites must handle, with fleets of today's sizes.
 func scenarios() []*scenario {
 	flood := eightTeams()
 	flood[0].share = func(at time.Duration) float64 {
