--- a/internal/pooler/pooler_test.go
+++ b/internal/pooler/pooler_test.go
@@ -133,6 +133,8 @@
 	quicktest.Assert(t, tg.requests.Load(), quicktest.Equals, int64(3))
 }
 
+// TestStrayResponsesAreSkipped checks that a late response to an earlier request on a connection is never returned for
+// the current request.
 func TestStrayResponsesAreSkipped(t *testing.T) {
 	// Every response except the first is preceded by a duplicate response to the previous request.
 	last := ""
@@ -193,6 +195,8 @@
 	})
 }
 
+// TestClientDisconnects checks that the connection to the target is closed when the request's context ends, so that the
+// target does not keep working for a client that has disconnected.
 func TestClientDisconnects(t *testing.T) {
 	closed := make(chan struct{})
 	tg := listen(t, func(conn net.Conn, _ *http.Request, _ int) {
