--- a/internal/networker/timed_test.go
+++ b/internal/networker/timed_test.go
@@ -59,6 +59,7 @@
 	quicktest.Assert(t, string(body), quicktest.Equals, "ok")
 }
 
+// TestTimeouts checks that clients cannot exceed the header and idle timeouts, also after a change of the timeouts.
 func TestTimeouts(t *testing.T) {
 	addr, header, idle := serveWithTimeouts(t)
 	after := closedAfter(t, dial(t, addr))
