--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -31,8 +31,8 @@
 	return &Explainer{out: out, lines: lines}, nil
 }
 
-// Write writes one JSON log line to the output and keeps it if it contains a request ID. Of each request, the first lines
-// are kept.
+// Write writes one JSON log line to the output. It also keeps the line if the line contains a request ID, up to
+// maximumLinesPerRequest lines of each request; further lines of the request are not kept.
 func (e *Explainer) Write(line []byte) (int, error) {
 	if id := requestID(line); id != "" {
 		kept, _ := e.lines.Get(id)
