--- a/internal/tracer/trace.go
+++ b/internal/tracer/trace.go
@@ -14,8 +14,9 @@
 // ErrUnknownRequest is returned when no line names the request.
 var ErrUnknownRequest = errors.New("no line names the request")
 
-// maximumStateAge is the maximum age, at a request's arrival, of a state line that is shown. The latest configuration and
-// an ongoing loss of the store are shown regardless of age. The entry of a lost target expires within a few seconds.
+// maximumStateAge is the maximum age, at a request's arrival, of a state line that is shown. Older lines about targets do
+// not matter, because the entry of a lost target expires within a few seconds. The latest configuration and an ongoing
+// loss of the store are shown regardless of age.
 const maximumStateAge = 10 * time.Second
 
 // Trace holds the log lines that explain how one request was handled.
