--- a/internal/parser/settings.go
+++ b/internal/parser/settings.go
@@ -32,7 +32,8 @@
 // Timing holds the durations that all instances of a site have in common.
 type Timing struct {
 	Lease time.Duration
-	// DriftMargin is the clock drift allowed for when an instance waits for the lease or the freshness of another to expire.
+	// DriftMargin allows for clock drift: an instance waits this much longer for the lease or the freshness of another
+	// instance to expire.
 	DriftMargin     time.Duration
 	OrderTimeout    time.Duration
 	AddressLifetime time.Duration
