--- a/internal/commander/options.go
+++ b/internal/commander/options.go
@@ -48,8 +48,8 @@
 	Status    statusQuery    `command:"status" description:"show the state of an entry instance, the members, the lease and the orders"`
 	Inventory inventoryQuery `command:"inventory" description:"show the inventory and rules in force"`
 	Usage     usageQuery     `command:"usage" description:"show the usage that is not yet reported to the platform"`
-	Explain   explainQuery   `command:"explain" description:"show the routing decisions for a request"`
-	Trace     traceQuery     `command:"trace" description:"show from logs how a request was routed and why it ended as it did"`
+	Explain   explainQuery   `command:"explain" description:"show the decisions made for a request"`
+	Trace     traceQuery     `command:"trace" description:"show from logs how a request was handled and why it ended as it did"`
 	Addresses addressesQuery `command:"addresses" description:"show the addresses that callers get"`
 	Check     checkCommand   `command:"check" description:"check settings, inventory and rules offline"`
 	Version   versionQuery   `command:"version" description:"print the version, the commit and the Go version"`
