--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -163,7 +163,8 @@
 }
 
 // adjustBatchLimit searches for the largest batch at which tokens are still on time, by additive increase and
-// multiplicative decrease: while too many tokens are late, the limit drops below the number of active requests.
+// multiplicative decrease: while too many tokens are late, the limit drops below the number of active requests, but not
+// below minimumBatchFraction of the target's slots.
 func (tg *target) adjustBatchLimit(now time.Time) {
 	if now.Sub(tg.batchUpdatedAt) < batchAdjustInterval {
 		return
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -47,7 +47,8 @@
 	targets    []*target
 }
 
-// Assignment is a request counted as sent to a target. It must be passed to Finish, or to Release in a Plan.
+// Assignment is a request counted as sent to a target. The caller ends it with Finish or, if the request was not sent,
+// with Release of its Plan.
 type Assignment struct {
 	ID        identifier.TargetID
 	Address   string
