--- a/internal/relayer/run_test.go
+++ b/internal/relayer/run_test.go
@@ -52,7 +52,8 @@
 }
 
 // TestRunHeaderMatchesExecution checks that an error is reported as NotRun only if the service did not execute the
-// call: once for a service that executes it and breaks the connection, and once for one that refuses connections.
+// call, and that no call is executed twice. One service executes the call and breaks the connection, another one
+// refuses connections.
 func TestRunHeaderMatchesExecution(t *testing.T) {
 	var executions atomic.Int64
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
