--- a/internal/coordinator/constants.go
+++ b/internal/coordinator/constants.go
@@ -48,7 +48,7 @@
 	stopMargin = 700 * time.Millisecond
 	// memoryLimitFraction is the fraction of the instance's memory that becomes the soft memory limit of the runtime.
 	memoryLimitFraction = 0.7
-	// bodyMemoryDivisor is the divisor of the instance's memory that gives the memory for request bodies.
+	// bodyMemoryDivisor sets the memory for request bodies: the instance's memory divided by this number.
 	bodyMemoryDivisor = 8
 	// reservedDescriptors is the number of file descriptors that client connections may not use.
 	reservedDescriptors = 600
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -212,8 +212,8 @@
 // instanceCount returns the number of live instances, including this one.
 func (c *Coordinator) instanceCount() int { return len(c.peers.Alive(time.Now())) + 1 }
 
-// jitter returns the maximum jitter of target choices: by how much the predictions of two instances may differ, which
-// grows with the age of the loads that they report to each other.
+// jitter returns the maximum jitter of target choices: by how much the predictions of two instances may differ. It
+// is larger with hubs, because the loads that instances receive from each other are then older.
 func (c *Coordinator) jitter() time.Duration {
 	if c.peers.UsesHubs() {
 		return hubJitter
--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -74,7 +74,7 @@
 }
 
 // addChanges adds the prompt parts that were recorded since the last message, and the counts that changed since the
-// last message but one.
+// message before it, so that each count is sent in two messages.
 func (c *Coordinator) addChanges(b *gossiper.Beat, peer *gossiper.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	c.peers.SendNow()
 }
 
-// newStream returns the records of a mirror from an offset on, with its position and age.
+// newStream returns the records of a mirror from an offset on, with the mirror's next offset and age.
 func newStream(name string, m *mirrorer.Mirror, from identifier.Offset, now time.Time) *gossiper.Stream {
 	s := &gossiper.Stream{Name: name, From: uint64(from), Next: uint64(m.Next()), AgeMilliseconds: -1}
 	if age, known := m.Age(now); known {
--- a/internal/coordinator/run.go
+++ b/internal/coordinator/run.go
@@ -29,7 +29,8 @@
 	"github.com/coltsfootscale/coltsfootscale/internal/sleeper"
 )
 
-// Run serves until SIGTERM, an interrupt or the end of stop, and then drains requests and leaves.
+// Run serves until SIGTERM, an interrupt or the end of stop. It then announces that this instance leaves and lets the
+// requests in progress finish within the grace period.
 func (c *Coordinator) Run(stop context.Context) error {
 	settings := c.settings.Load()
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.Bounds.MemoryMegabytes<<20)))
@@ -287,7 +288,7 @@
 	})
 }
 
-// leave announces that this instance leaves, and waits for clients to stop using its address.
+// leave announces that this instance leaves, and keeps serving for leaveTime until clients stop using its address.
 func (c *Coordinator) leave(client *khttp.Server, stopDuties func()) {
 	c.leaving.Store(true)
 	c.logger.Info("leaving", zap.Int64("InFlight", c.inFlight.Load()))
