--- a/internal/gossiper/topology.go
+++ b/internal/gossiper/topology.go
@@ -15,8 +15,8 @@
 // gossip messages would saturate its link. The instances of a zone without a hub use two hubs of other zones, selected
 // by a hash of the IDs. Hubs relay the statuses of other instances, each status once to each partner. The message rate
 // of an instance therefore does not grow with the fleet, that of a hub grows with its zone, and few messages cross
-// zones. Each instance computes the hubs from its own view; while views differ, an instance may have a partner more or
-// less.
+// zones. Each instance computes the hubs from its own view; while views differ, an instance may have one partner
+// too many or too few.
 
 const (
 	// meshSize is the largest fleet that uses a full mesh.
@@ -147,8 +147,8 @@
 	return g.Self.Capacity
 }
 
-// statusesToRelay returns the statuses of other instances that were not sent to a partner yet; only hubs relay. The
-// caller must hold mu.
+// statusesToRelay returns the recent statuses of other instances that were not sent to a partner yet; only hubs relay.
+// The caller must hold mu.
 func (g *Gossiper) statusesToRelay(p *peer, now time.Time) []*Status {
 	if !g.usesHubs() || !g.currentHubs(now)[g.Self.ID] {
 		return nil
