--- a/internal/mirrorer/mirror.go
+++ b/internal/mirrorer/mirror.go
@@ -39,8 +39,8 @@
 	recoveredAt time.Time
 }
 
-// Apply merges records into the mirror. Together with the known records they are complete up to next, as of the time
-// asOf.
+// Apply merges records into the mirror. Together with the records already in the mirror, they must be all records before
+// the offset next, as of the time asOf.
 //
 // A zero asOf means that the sender's own copy was never known to be complete; it does not change the mirror's age.
 func (m *Mirror) Apply(records []Record, next identifier.Offset, asOf time.Time) {
