--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -20,7 +20,8 @@
 type Stream interface {
 	// Newest returns the newest record of each key and the offset to continue reading from.
 	Newest(ctx context.Context) ([]mirrorer.Record, identifier.Offset, error)
-	// Read returns the records from an offset on and the offset after them; it waits up to wait for the first one.
+	// Read returns the records from an offset on and the offset after them. If there are none yet, it waits for the first
+	// one, but no longer than wait.
 	Read(ctx context.Context, from identifier.Offset, wait time.Duration) ([]mirrorer.Record, identifier.Offset, error)
 }
 
