--- a/internal/elector/elector.go
+++ b/internal/elector/elector.go
@@ -26,7 +26,7 @@
 	ErrRefused = errors.New("store refused the call")
 	// ErrFenced is returned by a receiver that has seen a higher fencing number, or that cannot provide what was ordered.
 	ErrFenced = errors.New("refused by fencing number")
-	// ErrNotHolder is returned when this instance does not hold the lease or no longer holds it.
+	// ErrNotHolder is returned when this instance does not hold the lease, or its lease has expired.
 	ErrNotHolder = errors.New("duties not held")
 )
 
@@ -51,6 +51,7 @@
 
 // LogHead describes the newest record of the log that an instance knows of.
 type LogHead struct {
+	// Holder and Fence are those of the newest claim that was read; Next may be after records that were not read yet.
 	Holder string
 	Fence  identifier.Fence
 	// Next is the offset after that record.
@@ -177,7 +178,7 @@
 	case err == nil: // The lease is held, and its renewal is not due yet.
 	case !logRead, expired && stale && e.Eligible(expiredFor):
 		if _, err := e.catchUp(ctx); err != nil {
-			e.Logger.Debug("cannot read the duties' log", zap.Error(err))
+			e.Logger.Debug("cannot read the duties log", zap.Error(err))
 		}
 	case expired && e.Eligible(expiredFor):
 		e.claim(ctx)
--- a/internal/elector/elector_test.go
+++ b/internal/elector/elector_test.go
@@ -165,6 +165,7 @@
 }
 
 // TestRandomSchedules claims, renews and closes while responses are lost, calls are delayed and instances disconnected.
+// It guards against two holders at a time and against fencing numbers that decrease or that two instances use.
 func TestRandomSchedules(t *testing.T) {
 	total := 0
 	for i := range *schedulesFlag {
--- a/internal/elector/fold.go
+++ b/internal/elector/fold.go
@@ -12,7 +12,7 @@
 // maximumClosedWindows is the number of closed windows that a fold holds: some minutes of the shortest windows in use.
 const maximumClosedWindows = 64
 
-// Fold is the state of the duties' log up to an offset; the zero value is that of an empty log.
+// Fold is the state of the duties log up to an offset; the zero value is that of an empty log.
 type Fold struct {
 	Next   identifier.Offset
 	Holder string
