--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -41,10 +41,10 @@
 	Logger *zap.Logger
 
 	mu sync.Mutex
-	// scalingDown holds the services whose targets are being withdrawn.
+	// scalingDown records for each service whether targets of it are being withdrawn.
 	scalingDown map[identifier.ServiceID]bool
 	sent        map[pool]lastOrder
-	// withdrawing holds the last withdrawal of each pool in which the withdrawn targets are still present.
+	// withdrawing holds the last withdrawal of each pool until its targets are gone or the order's time is over.
 	withdrawing map[pool]lastOrder
 	discovery   discovery
 }
