--- a/internal/reporter/reporter.go
+++ b/internal/reporter/reporter.go
@@ -16,7 +16,7 @@
 	"github.com/coltsfootscale/coltsfootscale/pkg/identifier"
 )
 
-// maximumSentWindows bounds the number of sent windows that are remembered, only for an assertion.
+// maximumSentWindows limits the number of sent windows that are remembered. They are used only by an assertion.
 const maximumSentWindows = 1024
 
 // Authority runs send if the lease is held under the fencing number, and no longer than the lease lasts.
--- a/internal/reporter/windows.go
+++ b/internal/reporter/windows.go
@@ -42,7 +42,7 @@
 	Length    time.Duration
 	// MaximumDelay is the time after its end within which a window may still be reported.
 	MaximumDelay time.Duration
-	// Now returns the wall clock time on which all instances agree.
+	// Now returns the wall clock time, corrected for an error of this machine's clock.
 	Now func() time.Time
 	// Total returns the requests of each team in a window so far.
 	Total  func(window int64) map[identifier.TeamID]uint64
@@ -82,7 +82,7 @@
 	}
 }
 
-// report reports the figures of a window that the log holds, after closing the window if necessary. A window without
+// report reports the figures that the log holds for a window, after closing the window if necessary. A window without
 // requests is not closed.
 func (r *WindowReporter) report(ctx context.Context, window int64) {
 	figures, closed := r.DutyLease.Closed()[window]
