--- a/internal/coordinator/constants.go
+++ b/internal/coordinator/constants.go
@@ -52,8 +52,8 @@
 	bodyMemoryDivisor = 8
 	// reservedDescriptors is the number of file descriptors that client connections may not use.
 	reservedDescriptors = 600
-	// incarnationDigits is the length of the random ID of an incarnation; it is short because gossip messages carry
-	// many.
+	// incarnationDigits is the length of the random ID that distinguishes the incarnations of an instance. It is short
+	// because gossip messages carry many.
 	incarnationDigits = 8
 	// AddressLifetime is how long clients may cache a response of the directory; a site may set a shorter time.
 	AddressLifetime = 1500 * time.Millisecond
