--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestExchangesDoNotGrowQuadratically limits the exchanges per instance and second: two hubs per zone, two exchanges
-// per second, and an allowance for new partners.
+// TestExchangesDoNotGrowQuadratically guards against exchanges between all pairs of instances in a large fleet. Its bound
+// per instance and second stands for two hubs per zone, two exchanges per second, and an allowance for new partners.
 func TestExchangesDoNotGrowQuadratically(t *testing.T) {
 	run(t, 63, func(fl *fleet) {
 		fl.mu.Lock()
