--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -24,7 +24,7 @@
 	scaleInterval = 500 * time.Millisecond
 	// arrivalSlack is the time that ordered targets may take to become known, beyond their boot time.
 	arrivalSlack = 3 * time.Second
-	// refusedPause is how long an order is not repeated after it was refused, as when no target is available.
+	// refusedPause is how long an order is not repeated after it failed, for example because no target is available.
 	refusedPause = 2 * time.Second
 )
 
