--- a/internal/scaler/scaler.go
+++ b/internal/scaler/scaler.go
@@ -24,7 +24,7 @@
 	scaleInterval = 500 * time.Millisecond
 	// arrivalSlack is the time that ordered targets may take to become known, beyond their boot time.
 	arrivalSlack = 3 * time.Second
-	// refusedPause is how long an order is not repeated after it was refused, as when no target is available.
+	// refusedPause is how long an order is not repeated after it failed, for example because no target is available.
 	refusedPause = 2 * time.Second
 )
 
@@ -41,10 +41,10 @@
 	Logger *zap.Logger
 
 	mu sync.Mutex
-	// scalingDown holds the services whose targets are being withdrawn.
+	// scalingDown records for each service whether targets of it are being withdrawn.
 	scalingDown map[identifier.ServiceID]bool
 	sent        map[pool]lastOrder
-	// withdrawing holds the last withdrawal of each pool in which the withdrawn targets are still present.
+	// withdrawing holds the last withdrawal of each pool until its targets are gone or the order's time is over.
 	withdrawing map[pool]lastOrder
 	discovery   discovery
 }
