--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -76,8 +76,8 @@
 	Metrics      tally.Scope
 }
 
-// job is the state of one request.
-type job struct {
+// requestState is the state of one request that is being served.
+type requestState struct {
 	f        *Forwarder
 	w        http.ResponseWriter
 	call     *Call
@@ -97,13 +97,13 @@
 	started bool
 	// headerSent is set once the response header has been sent to the client.
 	headerSent bool
-	trace      trace
+	logEntry   logEntry
 	// status is the status of the target's response.
 	status int
 }
 
-// trace holds the choices and times of a request for the log.
-type trace struct {
+// logEntry holds the choices and times of a request for the log.
+type logEntry struct {
 	promptTarget identifier.TargetID
 	answerTarget identifier.TargetID
 	predicted    time.Duration
@@ -114,156 +114,156 @@
 
 // Serve handles a call and writes the answer to w.
 func (f *Forwarder) Serve(ctx context.Context, w http.ResponseWriter, call *Call) {
-	j := &job{f: f, w: w, call: call, start: time.Now()}
-	refusal := j.admit()
+	rs := &requestState{f: f, w: w, call: call, start: time.Now()}
+	refusal := rs.admit()
 	if refusal == nil {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, j.deadline)
+		ctx, cancel = context.WithDeadline(ctx, rs.deadline)
 		defer cancel()
-		if j.route.Kind == matcher.Stream {
-			refusal = j.serveStream(ctx)
+		if rs.route.Kind == matcher.Stream {
+			refusal = rs.serveStream(ctx)
 		} else {
-			refusal = j.servePlain(ctx)
+			refusal = rs.servePlain(ctx)
 		}
 	}
-	j.finish(ctx, refusal)
+	rs.finish(ctx, refusal)
 }
 
 // finish writes the refusal, if any, and logs the outcome.
-func (j *job) finish(ctx context.Context, refusal *Refusal) {
-	j.f.Metrics.Counter("Requests").Inc(1)
+func (rs *requestState) finish(ctx context.Context, refusal *Refusal) {
+	rs.f.Metrics.Counter("Requests").Inc(1)
 	if refusal == nil {
-		j.logServed()
+		rs.logServed()
 		return
 	}
 	// The client has left. Its connection is closed so that a partial response cannot look complete.
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		j.logRefusal("client left", refusal)
+		rs.logRefusal("client left", refusal)
 		panic(http.ErrAbortHandler)
 	}
-	asserter.That(!refusal.impliesNotRun() || !j.started, asserter.NotRunIsTrue,
-		"request %s: %s", j.call.ID, refusal.Reason)
-	j.f.Metrics.Tagged(map[string]string{"Reason": refusal.Reason}).Counter("Refusals").Inc(1)
-	j.logRefusal("request refused", refusal)
-	if j.headerSent {
+	asserter.That(!refusal.impliesNotRun() || !rs.started, asserter.NotRunIsTrue,
+		"request %s: %s", rs.call.ID, refusal.Reason)
+	rs.f.Metrics.Tagged(map[string]string{"Reason": refusal.Reason}).Counter("Refusals").Inc(1)
+	rs.logRefusal("request refused", refusal)
+	if rs.headerSent {
 		panic(http.ErrAbortHandler)
 	}
-	refusal.writeTo(j.w)
+	refusal.writeTo(rs.w)
 }
 
 // logServed logs which targets served a request and the prediction behind the choice.
-func (j *job) logServed() {
-	j.f.Logger.Info("request served",
-		zap.String("RequestID", string(j.call.ID)), zap.String("Route", string(j.route.ID)), zap.Duration("After", time.Since(j.start)),
-		zap.String("PromptTarget", string(j.trace.promptTarget)), zap.Duration("Predicted", j.trace.predicted),
-		zap.Int64("FreshTokens", int64(j.trace.uncached)), zap.Duration("PromptTook", j.trace.prefillTook),
-		zap.String("AnswerTarget", string(j.trace.answerTarget)), zap.Duration("FirstEvent", j.trace.firstEvent),
-		zap.Int("Status", j.status), zap.Int("Sends", j.attempts))
+func (rs *requestState) logServed() {
+	rs.f.Logger.Info("request served",
+		zap.String("RequestID", string(rs.call.ID)), zap.String("Route", string(rs.route.ID)), zap.Duration("After", time.Since(rs.start)),
+		zap.String("PromptTarget", string(rs.logEntry.promptTarget)), zap.Duration("Predicted", rs.logEntry.predicted),
+		zap.Int64("FreshTokens", int64(rs.logEntry.uncached)), zap.Duration("PromptTook", rs.logEntry.prefillTook),
+		zap.String("AnswerTarget", string(rs.logEntry.answerTarget)), zap.Duration("FirstEvent", rs.logEntry.firstEvent),
+		zap.Int("Status", rs.status), zap.Int("Sends", rs.attempts))
 }
 
-func (j *job) logRefusal(message string, r *Refusal) {
+func (rs *requestState) logRefusal(message string, r *Refusal) {
 	route := identifier.RouteID("")
-	if j.route != nil {
-		route = j.route.ID
+	if rs.route != nil {
+		route = rs.route.ID
 	}
-	j.f.Logger.Info(message,
-		zap.String("RequestID", string(j.call.ID)), zap.String("Route", string(route)),
-		zap.String("Reason", r.Reason), zap.Int("Status", r.Status), zap.Duration("After", time.Since(j.start)),
-		zap.Int("Sends", j.attempts), zap.Duration("Deadline", j.call.Deadline), zap.Error(r.Err))
+	rs.f.Logger.Info(message,
+		zap.String("RequestID", string(rs.call.ID)), zap.String("Route", string(route)),
+		zap.String("Reason", r.Reason), zap.Int("Status", r.Status), zap.Duration("After", time.Since(rs.start)),
+		zap.Int("Sends", rs.attempts), zap.Duration("Deadline", rs.call.Deadline), zap.Error(r.Err))
 }
 
 // admit determines the route, team and deadline of a request.
-func (j *job) admit() *Refusal {
-	table := j.f.Table()
+func (rs *requestState) admit() *Refusal {
+	table := rs.f.Table()
 	if table == nil {
 		return refuseNotRun("NoConfiguration", defaultRetryAfter, nil)
 	}
-	j.route = table.Route(j.call.Host, j.call.Path)
-	if j.route == nil {
-		return j.refuseUnknown(http.StatusNotFound, "UnknownRoute")
+	rs.route = table.Route(rs.call.Host, rs.call.Path)
+	if rs.route == nil {
+		return rs.refuseUnknown(http.StatusNotFound, "UnknownRoute")
 	}
-	if table.RequiresKey() && !j.route.Public {
-		if j.team = table.Team(j.call.Key); j.team == nil {
-			return j.refuseUnknown(http.StatusUnauthorized, "UnknownKey")
+	if table.RequiresKey() && !rs.route.Public {
+		if rs.team = table.Team(rs.call.Key); rs.team == nil {
+			return rs.refuseUnknown(http.StatusUnauthorized, "UnknownKey")
 		}
 	}
-	j.deadline = j.start.Add(j.route.Timeout)
-	if d := j.start.Add(j.call.Deadline); j.call.Deadline > 0 && d.Before(j.deadline) {
-		j.deadline = d
+	rs.deadline = rs.start.Add(rs.route.Timeout)
+	if d := rs.start.Add(rs.call.Deadline); rs.call.Deadline > 0 && d.Before(rs.deadline) {
+		rs.deadline = d
 	}
-	j.service = j.route.PickService(rand.Float64())
-	j.f.Budget.AddRequest(j.service)
+	rs.service = rs.route.PickService(rand.Float64())
+	rs.f.Budget.AddRequest(rs.service)
 	return nil
 }
 
 // refuseUnknown refuses a request whose route or key is not in the configuration. If the configuration is stale, a newer
 // one may have it, and the client is asked to retry.
-func (j *job) refuseUnknown(status int, reason string) *Refusal {
-	if j.f.TableAge() > staleConfigurationAge {
+func (rs *requestState) refuseUnknown(status int, reason string) *Refusal {
+	if rs.f.TableAge() > staleConfigurationAge {
 		return refuseNotRun(reason+"Yet", defaultRetryAfter, nil)
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
 
-func (j *job) teamID() identifier.TeamID {
-	if j.team == nil {
+func (rs *requestState) teamID() identifier.TeamID {
+	if rs.team == nil {
 		return ""
 	}
-	return j.team.ID
+	return rs.team.ID
 }
 
 // attempt describes an attempt on a target; a stream resumes after lastEvent.
-func (j *job) attempt(t *registrar.Target, source *KVHandle, lastEvent string) *Attempt {
+func (rs *requestState) attempt(t *registrar.Target, source *KVHandle, lastEvent string) *Attempt {
 	maximumIdle := unrepeatableMaximumIdle
-	if j.route.Repeatable() {
+	if rs.route.Repeatable() {
 		maximumIdle = repeatableMaximumIdle
 	}
 	return &Attempt{
-		Target: t, Team: j.teamID(), Remaining: time.Until(j.deadline), EffectivePriority: matcher.EffectivePriority(j.route, j.team),
-		Source: source, LastEvent: lastEvent, MaximumIdle: maximumIdle, Connections: j.connectionShare(),
+		Target: t, Team: rs.teamID(), Remaining: time.Until(rs.deadline), EffectivePriority: matcher.EffectivePriority(rs.route, rs.team),
+		Source: source, LastEvent: lastEvent, MaximumIdle: maximumIdle, Connections: rs.connectionShare(),
 	}
 }
 
 // connectionShare returns this instance's share of a target's connection limit; zero means no limit.
-func (j *job) connectionShare() int {
-	s := j.f.Table().Service(j.service)
+func (rs *requestState) connectionShare() int {
+	s := rs.f.Table().Service(rs.service)
 	if s == nil || s.ConnectionLimit <= 0 {
 		return 0
 	}
-	return max(minimumConnections, s.ConnectionLimit/max(1, j.f.Instances()))
+	return max(minimumConnections, s.ConnectionLimit/max(1, rs.f.Instances()))
 }
 
 // candidates returns the targets of the given stages that have not failed in this request.
-func (j *job) candidates(parts []chooser.Part, stages ...registrar.Stage) []chooser.Candidate {
-	targets := j.f.Targets(j.service, time.Now())
+func (rs *requestState) candidates(parts []chooser.Part, stages ...registrar.Stage) []chooser.Candidate {
+	targets := rs.f.Targets(rs.service, time.Now())
 	targets = slices.DeleteFunc(targets, func(t *registrar.Target) bool {
-		return !slices.Contains(stages, t.Stage) || slices.Contains(j.failedTargets, t.ID)
+		return !slices.Contains(stages, t.Stage) || slices.Contains(rs.failedTargets, t.ID)
 	})
-	return j.f.TargetStates.Candidates(targets, parts, time.Now())
+	return rs.f.TargetStates.Candidates(targets, parts, time.Now())
 }
 
 // chooseAnswerTarget chooses the answer target among the targets of the decode stage and those without a stage.
-func (j *job) chooseAnswerTarget() (chooser.Choice, bool) {
-	list := j.candidates(nil, registrar.Answers, registrar.AnyStage)
-	if j.route.HasPrompts {
-		return j.f.Chooser.Answer(j.f.Zone, j.jitter(), list)
+func (rs *requestState) chooseAnswerTarget() (chooser.Choice, bool) {
+	list := rs.candidates(nil, registrar.Answers, registrar.AnyStage)
+	if rs.route.HasPrompts {
+		return rs.f.Chooser.Answer(rs.f.Zone, rs.jitter(), list)
 	}
-	return j.f.Chooser.Plain(j.f.Zone, plainServiceTime, list)
+	return rs.f.Chooser.Plain(rs.f.Zone, plainServiceTime, list)
 }
 
 // takeRetry reports whether another attempt is allowed and, if so, takes it from the retry budget.
-func (j *job) takeRetry() bool {
-	return j.call.Body.Whole() && j.attempts < j.route.Attempts &&
-		time.Until(j.deadline) > minimumRemaining && j.f.Budget.TakeRetry(j.service)
+func (rs *requestState) takeRetry() bool {
+	return rs.call.Body.Whole() && rs.attempts < rs.route.Attempts &&
+		time.Until(rs.deadline) > minimumRemaining && rs.f.Budget.TakeRetry(rs.service)
 }
 
 // markStarted counts the request as started and records the time; only the first call has an effect.
-func (j *job) markStarted() {
-	if !j.started {
-		j.started = true
-		j.trace.firstEvent = time.Since(j.start)
-		j.f.Metrics.Timer("FirstEvent").Record(j.trace.firstEvent)
-		j.f.CountRequest(j.teamID())
+func (rs *requestState) markStarted() {
+	if !rs.started {
+		rs.started = true
+		rs.logEntry.firstEvent = time.Since(rs.start)
+		rs.f.Metrics.Timer("FirstEvent").Record(rs.logEntry.firstEvent)
+		rs.f.CountRequest(rs.teamID())
 	}
 }
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -19,15 +19,15 @@
 
 // stream relays the events of one or more targets as one response: each event once, complete and in order.
 type stream struct {
-	job       *job
-	lastEvent string
-	lastID    int
+	requestState *requestState
+	lastEvent    string
+	lastID       int
 }
 
 // newStream returns a stream that starts after the last event that the client received.
-func newStream(j *job) *stream {
-	s := &stream{job: j, lastEvent: j.call.LastEvent}
-	if id, err := strconv.Atoi(j.call.LastEvent); err == nil {
+func newStream(rs *requestState) *stream {
+	s := &stream{requestState: rs, lastEvent: rs.call.LastEvent}
+	if id, err := strconv.Atoi(rs.call.LastEvent); err == nil {
 		s.lastID = id
 	}
 	return s
@@ -36,22 +36,22 @@
 // relay forwards events until the target's response ends; it returns ErrOutcomeUnknown if the response breaks off.
 func (s *stream) relay(response *Response) error {
 	r := bufio.NewReaderSize(response.Body, eventBufferBytes)
-	flusher := http.NewResponseController(s.job.w)
+	flusher := http.NewResponseController(s.requestState.w)
 	for {
 		event, err := readEvent(r)
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			s.job.writeHeader(response)
+			s.requestState.writeHeader(response)
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("%w: reading the event after %d: %w", ErrOutcomeUnknown, s.lastID, err)
 		}
-		s.job.markStarted()
+		s.requestState.markStarted()
 		if err := s.advance(event); err != nil {
 			return err
 		}
-		s.job.writeHeader(response)
-		if _, err := s.job.w.Write(event); err != nil {
+		s.requestState.writeHeader(response)
+		if _, err := s.requestState.w.Write(event); err != nil {
 			return fmt.Errorf("%w: writing to the client: %w", ErrOutcomeUnknown, err)
 		}
 		if err := flusher.Flush(); err != nil {
