--- a/internal/coordinator/gossip.go
+++ b/internal/coordinator/gossip.go
@@ -61,16 +61,16 @@
 	}
 }
 
-// cursor holds the positions in a sequence of changes that the last two messages to a peer reached. Sending the changes
-// after previous puts each one into two messages, because a message may be lost.
-type cursor struct{ previous, last uint64 }
+// sentPositions holds the positions in a sequence of changes that the last two messages to a peer reached. Sending the
+// changes after previous puts each one into two messages, because a message may be lost.
+type sentPositions struct{ previous, last uint64 }
 
-func (c *cursor) advance(next uint64) { c.previous, c.last = c.last, next }
+func (p *sentPositions) advance(next uint64) { p.previous, p.last = p.last, next }
 
 // sendProgress holds the positions up to which prompt parts and counts were sent to one incarnation of a peer.
 type sendProgress struct {
 	incarnation   string
-	parts, counts cursor
+	parts, counts sentPositions
 }
 
 // addChanges adds the prompt parts that were recorded since the last message, and the counts that changed since the
