--- a/internal/evaluator/engine_test.go
+++ b/internal/evaluator/engine_test.go
@@ -22,12 +22,12 @@
 	promisedFirstToken     = 1600 * time.Millisecond
 )
 
-// job is one request on an engine. The first group of fields is its input, the second its state and results.
-type job struct {
+// engineRequest is one request on an engine. The first group of fields is its input, the second its state and results.
+type engineRequest struct {
 	parts        []uint64
 	promptTokens int64
 	outputTokens int64
-	// imported is true if a prefill engine has computed the KV cache, so that the job starts to decode at once.
+	// imported is true if a prefill engine has computed the KV cache, so that the request starts to decode at once.
 	imported    bool
 	prefillOnly bool
 
@@ -49,8 +49,8 @@
 	mu              sync.Mutex
 	wake            chan struct{}
 	role            recorder.Role
-	waiting         []*job
-	running         []*job
+	waiting         []*engineRequest
+	running         []*engineRequest
 	cacheOrder      []uint64
 	cached          map[uint64]bool
 	events          []chatter.CacheEvent
@@ -78,15 +78,15 @@
 	return e
 }
 
-// submit queues a job. The job's done channel receives true when it is finished and false if it failed.
-func (e *engine) submit(j *job) {
+// submit queues a request. Its done channel receives true when it is finished and false if it failed.
+func (e *engine) submit(r *engineRequest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.crashed || time.Now().Before(e.changingUntil) {
-		j.done <- false
+		r.done <- false
 		return
 	}
-	e.waiting = append(e.waiting, j)
+	e.waiting = append(e.waiting, r)
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -110,18 +110,18 @@
 	}
 }
 
-// prepareStep admits waiting jobs to the batch and returns the duration of the next step, 0 if there is no work.
+// prepareStep admits waiting requests to the batch and returns the duration of the next step, 0 if there is no work.
 func (e *engine) prepareStep() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.waiting) > 0 && len(e.running) < engineSlots {
-		j := e.waiting[0]
+		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.startJob(j)
-		e.running = append(e.running, j)
+		e.startRequest(r)
+		e.running = append(e.running, r)
 	}
 	d := time.Duration(0)
-	if p := e.prefillingJob(); p != nil {
+	if p := e.prefillingRequest(); p != nil {
 		d += time.Duration(float64(min(p.remaining, e.chunkTokens())) / prefillTokensPerSecond * float64(time.Second))
 	}
 	if n := e.decodingCount(); n > 0 {
@@ -130,26 +130,26 @@
 	return d
 }
 
-// startJob finds the cached prefix of a job's prompt and sets how many tokens remain to be prefilled.
-func (e *engine) startJob(j *job) {
-	if j.started {
+// startRequest finds the cached prefix of a request's prompt and sets how many tokens remain to be prefilled.
+func (e *engine) startRequest(r *engineRequest) {
+	if r.started {
 		return
 	}
-	j.started = true
-	if j.imported {
+	r.started = true
+	if r.imported {
 		return
 	}
 	hit := int64(0)
-	for _, p := range j.parts {
+	for _, p := range r.parts {
 		if !e.cached[p] {
 			break
 		}
 		hit++
 	}
-	j.cached = min(hit*partTokens, j.promptTokens)
-	j.remaining = j.promptTokens - j.cached
-	e.prefilledTokens += j.remaining
-	e.store(j.parts)
+	r.cached = min(hit*partTokens, r.promptTokens)
+	r.remaining = r.promptTokens - r.cached
+	e.prefilledTokens += r.remaining
+	e.store(r.parts)
 }
 
 // store adds prompt parts to the cache and evicts the oldest ones beyond its capacity.
@@ -170,11 +170,11 @@
 	}
 }
 
-// prefillingJob returns the oldest running job whose prompt is not yet prefilled, or nil.
-func (e *engine) prefillingJob() *job {
-	for _, j := range e.running {
-		if j.remaining > 0 {
-			return j
+// prefillingRequest returns the oldest running request whose prompt is not yet prefilled, or nil.
+func (e *engine) prefillingRequest() *engineRequest {
+	for _, r := range e.running {
+		if r.remaining > 0 {
+			return r
 		}
 	}
 	return nil
@@ -189,11 +189,11 @@
 	return partTokens
 }
 
-// decodingCount returns the number of running jobs whose prompt is prefilled.
+// decodingCount returns the number of running requests whose prompt is prefilled.
 func (e *engine) decodingCount() int {
 	n := 0
-	for _, j := range e.running {
-		if j.remaining == 0 {
+	for _, r := range e.running {
+		if r.remaining == 0 {
 			n++
 		}
 	}
@@ -205,48 +205,49 @@
 func (e *engine) finishStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p := e.prefillingJob(); p != nil {
+	if p := e.prefillingRequest(); p != nil {
 		p.remaining -= min(p.remaining, e.chunkTokens())
 	}
 	unfinished := e.running[:0]
-	for _, j := range e.running {
-		if j.remaining > 0 || !j.emit(now) {
-			unfinished = append(unfinished, j)
+	for _, r := range e.running {
+		if r.remaining > 0 || !r.emit(now) {
+			unfinished = append(unfinished, r)
 		}
 	}
 	e.running = unfinished
 }
 
-// emit adds a token to the answer and reports whether the job is finished. A prefill job finishes without a token.
-func (j *job) emit(now time.Time) bool {
-	if j.prefillOnly {
-		j.done <- true
+// emit adds a token to the answer and reports whether the request is finished. A prefill request finishes without a
+// token.
+func (r *engineRequest) emit(now time.Time) bool {
+	if r.prefillOnly {
+		r.done <- true
 		return true
 	}
-	if j.emitted == 0 && j.first.IsZero() {
-		j.first = now
-	} else if now.Sub(j.last) > promisedTokenGap {
-		j.lateTokens++
+	if r.emitted == 0 && r.first.IsZero() {
+		r.first = now
+	} else if now.Sub(r.last) > promisedTokenGap {
+		r.lateTokens++
 	}
-	j.last = now
-	j.emitted++
-	if j.onToken != nil {
-		j.onToken()
+	r.last = now
+	r.emitted++
+	if r.onToken != nil {
+		r.onToken()
 	}
-	if j.emitted < j.outputTokens {
+	if r.emitted < r.outputTokens {
 		return false
 	}
-	j.done <- true
+	r.done <- true
 	return true
 }
 
-// crash fails all jobs, empties the cache and makes the engine reject new jobs.
+// crash fails all requests, empties the cache and makes the engine reject new requests.
 func (e *engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crashed = true
-	for _, j := range append(e.waiting, e.running...) {
-		j.done <- false
+	for _, r := range append(e.waiting, e.running...) {
+		r.done <- false
 	}
 	e.waiting, e.running = nil, nil
 	e.cached, e.cacheOrder = map[uint64]bool{}, nil
@@ -270,11 +271,11 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	queued := int64(0)
-	for _, j := range e.running {
-		queued += j.remaining
+	for _, r := range e.running {
+		queued += r.remaining
 	}
-	for _, j := range e.waiting {
-		queued += j.promptTokens
+	for _, r := range e.waiting {
+		queued += r.promptTokens
 	}
 	current := chatter.Load{
 		Running: int64(len(e.running)), Waiting: int64(len(e.waiting)), Slots: engineSlots, Leaving: e.leaving,
@@ -284,9 +285,9 @@
 	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.reportLag {
 		e.reports = e.reports[1:]
 	}
-	r := e.reports[0]
-	r.load.AgeMilliseconds = now.Sub(r.at).Milliseconds()
-	return r.load, !e.crashed
+	oldest := e.reports[0]
+	oldest.load.AgeMilliseconds = now.Sub(oldest.at).Milliseconds()
+	return oldest.load, !e.crashed
 }
 
 // eventsFrom returns the cache events since a sequence number.
--- a/internal/evaluator/policy_test.go
+++ b/internal/evaluator/policy_test.go
@@ -15,7 +15,7 @@
 // policy is one way to route, admit and place. A nil admit admits every request; a nil place changes no roles.
 type policy struct {
 	name  string
-	route func(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool)
+	route func(s *simulation, e *entry, a arrival, r *engineRequest, tried map[identifier.TargetID]bool) (tracker.Plan, bool)
 	admit func(s *simulation, e *entry, a arrival, plan tracker.Plan) limiter.Decision
 	place func(s *simulation)
 }
@@ -45,12 +45,12 @@
 }
 
 // routeByPlan uses the cheapest plan of the product's tracker.
-func routeByPlan(s *simulation, e *entry, a arrival, j *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
+func routeByPlan(s *simulation, e *entry, a arrival, r *engineRequest, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	s.mu.Lock()
 	random := s.rng.Uint64()
 	s.mu.Unlock()
 	req := routerRequest(a, random, tried)
-	req.PromptTokens += identifier.Tokens(j.emitted)
+	req.PromptTokens += identifier.Tokens(r.emitted)
 	return e.tracker.Plan(tracker.ModelGroup(model), req, nil)
 }
 
@@ -158,7 +158,7 @@
 }
 
 // routeLeastLoad chooses the engine with the lowest reported load.
-func routeLeastLoad(s *simulation, e *entry, _ arrival, _ *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
+func routeLeastLoad(s *simulation, e *entry, _ arrival, _ *engineRequest, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	best, lowest := -1, int64(math.MaxInt64)
 	for i, t := range s.targets {
 		load, alive := s.engines[i].load()
@@ -173,7 +173,7 @@
 }
 
 // routeRoundRobin chooses the engines in turn.
-func routeRoundRobin(s *simulation, e *entry, _ arrival, _ *job, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
+func routeRoundRobin(s *simulation, e *entry, _ arrival, _ *engineRequest, tried map[identifier.TargetID]bool) (tracker.Plan, bool) {
 	for range s.targets {
 		s.mu.Lock()
 		s.nextEngine++
--- a/internal/evaluator/simulation_test.go
+++ b/internal/evaluator/simulation_test.go
@@ -206,9 +206,9 @@
 	e := s.entries[a.entry]
 	start := time.Now()
 	tried := map[identifier.TargetID]bool{}
-	j := &job{parts: a.parts, promptTokens: a.promptTokens, outputTokens: a.outputTokens}
+	r := &engineRequest{parts: a.parts, promptTokens: a.promptTokens, outputTokens: a.outputTokens}
 	for attempt := 1; attempt <= maximumAttempts; attempt++ {
-		plan, ok := s.policy.route(s, e, a, j, tried)
+		plan, ok := s.policy.route(s, e, a, r, tried)
 		if !ok {
 			break
 		}
@@ -219,9 +219,9 @@
 				return
 			}
 		}
-		if s.attempt(e, a, j, plan) {
+		if s.attempt(e, a, r, plan) {
 			e.meter.RecordAnswerLength(model, identifier.Tokens(a.outputTokens))
-			s.recordAnswer(a, j, start)
+			s.recordAnswer(a, r, start)
 			return
 		}
 		tried[plan.Answer.ID] = true
@@ -235,7 +235,7 @@
 	e.meter.AddRefused(model, identifier.Tokens(a.promptTokens)-plan.Cached)
 	s.updateOutcome(func(o *outcome) { o.refused++ })
 	time.Sleep(decision.RetryAfter)
-	retryPlan, ok := s.policy.route(s, e, a, &job{}, nil)
+	retryPlan, ok := s.policy.route(s, e, a, &engineRequest{}, nil)
 	if !ok {
 		return
 	}
@@ -246,28 +246,28 @@
 	}
 }
 
-// attempt runs a job on the targets of a plan and reports whether it succeeded. The next attempt of a failed job
-// resumes after the tokens already emitted.
-func (s *simulation) attempt(e *entry, a arrival, j *job, plan tracker.Plan) bool {
+// attempt runs a request on the targets of a plan and reports whether it succeeded. The next attempt of a failed
+// request resumes after the tokens already emitted.
+func (s *simulation) attempt(e *entry, a arrival, r *engineRequest, plan tracker.Plan) bool {
 	if plan.Split {
-		prefillJob := &job{parts: a.parts, promptTokens: a.promptTokens + j.emitted, prefillOnly: true, done: make(chan bool, 1)}
-		s.engine(plan.Prefill.ID).submit(prefillJob)
-		ok := <-prefillJob.done
+		prefill := &engineRequest{parts: a.parts, promptTokens: a.promptTokens + r.emitted, prefillOnly: true, done: make(chan bool, 1)}
+		s.engine(plan.Prefill.ID).submit(prefill)
+		ok := <-prefill.done
 		e.tracker.Finish(plan.Prefill, !ok)
 		e.tracker.FirstToken(plan.Prefill)
-		j.imported = ok
+		r.imported = ok
 		time.Sleep(20 * time.Millisecond) // transfer of the KV cache
 	} else {
-		j.imported = false
+		r.imported = false
 	}
-	j.started, j.remaining, j.done = false, 0, make(chan bool, 1)
-	j.promptTokens = a.promptTokens + j.emitted
+	r.started, r.remaining, r.done = false, 0, make(chan bool, 1)
+	r.promptTokens = a.promptTokens + r.emitted
 	uncached := identifier.Tokens(a.promptTokens) - plan.Cached
-	first := j.emitted == 0
+	first := r.emitted == 0
 	observed := false
 	last := time.Time{}
 	lateTokens, total := int64(0), int64(0)
-	j.onToken = func() {
+	r.onToken = func() {
 		if !observed {
 			observed = true
 			e.tracker.FirstToken(plan.Answer)
@@ -288,8 +288,8 @@
 		}
 		e.meter.Add(limiter.RateKey{Team: a.team, Model: model}, 0, 1)
 	}
-	s.engine(plan.Answer.ID).submit(j)
-	ok := <-j.done
+	s.engine(plan.Answer.ID).submit(r)
+	ok := <-r.done
 	e.tracker.Finish(plan.Answer, !ok)
 	if !ok && s.engine(plan.Answer.ID).cheap {
 		s.updateOutcome(func(o *outcome) { o.failedOnCheap++ })
@@ -308,9 +308,9 @@
 
 // recordAnswer counts an answer as good if its first token and at least 95% of its other tokens came within the
 // promised latencies.
-func (s *simulation) recordAnswer(a arrival, j *job, start time.Time) {
-	first := j.first.Sub(start) <= promisedFirstToken
-	gaps := float64(j.lateTokens) <= 0.05*float64(j.outputTokens)
+func (s *simulation) recordAnswer(a arrival, r *engineRequest, start time.Time) {
+	first := r.first.Sub(start) <= promisedFirstToken
+	gaps := float64(r.lateTokens) <= 0.05*float64(r.outputTokens)
 	s.updateOutcome(func(o *outcome) {
 		o.promptTokens += a.promptTokens
 		switch {
