--- a/internal/committer/committer.go
+++ b/internal/committer/committer.go
@@ -111,15 +111,15 @@
 
 // removeEnded drops the commits whose context has ended and returns ErrUnconfirmed to their callers.
 func removeEnded(batch []*commit) []*commit {
-	kept := batch[:0]
+	active := batch[:0]
 	for _, w := range batch {
 		if w.ctx.Err() != nil {
 			w.done <- ErrUnconfirmed
 			continue
 		}
-		kept = append(kept, w)
+		active = append(active, w)
 	}
-	return kept
+	return active
 }
 
 // flush appends a batch and returns the result to every caller in it.
--- a/internal/evaluator/capacity_test.go
+++ b/internal/evaluator/capacity_test.go
@@ -91,10 +91,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := f()
+	result := f()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / 1024
 }
 
--- a/internal/pooler/pool.go
+++ b/internal/pooler/pool.go
@@ -154,19 +154,19 @@
 	defer p.mu.Unlock()
 	var expired []*conn
 	for addr, list := range p.idle {
-		var kept []*conn
+		var usable []*conn
 		for _, c := range list {
 			if time.Now().Before(c.expiresAt) && c.healthy() {
-				kept = append(kept, c)
+				usable = append(usable, c)
 			} else {
 				expired = append(expired, c)
 			}
 		}
-		if len(kept) == 0 {
+		if len(usable) == 0 {
 			delete(p.idle, addr)
 			continue
 		}
-		p.idle[addr] = kept
+		p.idle[addr] = usable
 	}
 	return expired
 }
--- a/internal/tracker/target.go
+++ b/internal/tracker/target.go
@@ -204,15 +204,15 @@
 	tg.starts = timesAfter(tg.starts, tg.reportedAt)
 	tg.ends = timesAfter(tg.ends, tg.reportedAt)
 	tg.prefillFreeAt = tg.reportedAt.Add(time.Duration(load.QueuedPrefillMilliseconds) * time.Millisecond)
-	kept := tg.sends[:0]
+	newer := tg.sends[:0]
 	for _, s := range tg.sends {
 		if !s.at.After(tg.reportedAt) {
 			continue
 		}
-		kept = append(kept, s)
+		newer = append(newer, s)
 		tg.prefillFreeAt = later(tg.prefillFreeAt, s.at).Add(tg.withPeerSends(s.cost))
 	}
-	tg.sends = kept
+	tg.sends = newer
 	if !received.Before(tg.ejectedUntil) && tg.ejections > 0 && tg.failures == 0 {
 		tg.ejections = 0
 	}
@@ -264,13 +264,13 @@
 }
 
 func timesAfter(times []time.Time, t time.Time) []time.Time {
-	kept := times[:0]
+	newer := times[:0]
 	for _, at := range times {
 		if at.After(t) {
-			kept = append(kept, at)
+			newer = append(newer, at)
 		}
 	}
-	return kept
+	return newer
 }
 
 // newest limits a list to its most recent maximumSendRecords elements.
