--- a/internal/imitator/engine.go
+++ b/internal/imitator/engine.go
@@ -132,7 +132,7 @@
 		abort(w)
 	}
 	if time.Now().Before(e.changingUntil) {
-		http.Error(w, "role or model change in progress", http.StatusServiceUnavailable)
+		http.Error(w, "role change in progress", http.StatusServiceUnavailable)
 		return nil, false
 	}
 	e.counts.Started++
--- a/internal/imitator/platform.go
+++ b/internal/imitator/platform.go
@@ -145,7 +145,7 @@
 		}
 		if r.Method == http.MethodPost && rand.Float64() < f.LoseAnswers {
 			h(discardWriter{}, r)
-			http.Error(w, "response lost", http.StatusServiceUnavailable)
+			http.Error(w, "answer lost", http.StatusServiceUnavailable)
 			return
 		}
 		h(w, r)
@@ -257,12 +257,12 @@
 	o.Sender, o.Fence = "", 0
 	if ok && known != o {
 		p.counts.ConflictingOrders++
-		http.Error(w, "order differs from the first order with the same id", http.StatusConflict)
+		http.Error(w, "order differs from the first under its id", http.StatusConflict)
 		return
 	}
 	p.orders[o.OrderID] = o
 	if !ok && !p.applyOrder(o) {
-		http.Error(w, "no matching target is free", http.StatusConflict)
+		http.Error(w, "no such target is free", http.StatusConflict)
 		return
 	}
 	writeJSON(w, p.granted[o.OrderID])
@@ -322,7 +322,7 @@
 	known, ok := p.reports[report.Window]
 	if ok && !slices.Equal(known.Teams, report.Teams) {
 		p.counts.WrongReports++
-		http.Error(w, fmt.Sprintf("window %d was reported before with different counts", report.Window), http.StatusConflict)
+		http.Error(w, fmt.Sprintf("window %d was reported with other figures", report.Window), http.StatusConflict)
 		return
 	}
 	if !ok {
--- a/internal/parser/document.go
+++ b/internal/parser/document.go
@@ -109,7 +109,7 @@
 func (s *section) required(key string) string {
 	v := s.raw(key, "")
 	if v == "" {
-		s.addFault(key, v, "a non-empty value")
+		s.addFault(key, v, "a value that is not empty")
 	}
 	return v
 }
@@ -118,7 +118,7 @@
 	v := s.raw(key, fallback)
 	host, _, err := net.SplitHostPort(v)
 	if err != nil || net.ParseIP(host) == nil {
-		s.addFault(key, v, "an IP address and port, such as 127.0.0.1:8080")
+		s.addFault(key, v, "an IP number and port, such as 127.0.0.1:8080")
 	}
 	return v
 }
@@ -136,7 +136,7 @@
 	v := s.raw(key, strconv.FormatInt(fallback, 10))
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < low || n > high {
-		s.addFault(key, v, fmt.Sprintf("an integer from %d to %d", low, high))
+		s.addFault(key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
 	}
 	return n
 }
--- a/internal/parser/entry.go
+++ b/internal/parser/entry.go
@@ -120,7 +120,7 @@
 		}
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil || net.ParseIP(host) == nil {
-			s.addFault("Seeds", seed, "IP addresses with ports, separated by commas")
+			s.addFault("Seeds", seed, "IP numbers with ports, separated by commas")
 			continue
 		}
 		seeds = append(seeds, net.JoinHostPort(host, port))
--- a/internal/relayer/keyed.go
+++ b/internal/relayer/keyed.go
@@ -123,7 +123,7 @@
 	case entry.Digest != digest:
 		s.refuse(v.call, &refuser.Refusal{
 			Status: http.StatusUnprocessableEntity, Code: refuser.CodeIdempotencyKeyReused, Run: refuser.NotRun,
-			Message: "the idempotency key was used for a different call",
+			Message: "the idempotency key was used for another call",
 		})
 	case result == nil:
 		s.refuse(v.call, outcomeUnknown())
@@ -181,20 +181,20 @@
 func journalUnavailable() *refuser.Refusal {
 	return &refuser.Refusal{
 		Status: http.StatusServiceUnavailable, Code: refuser.CodeJournalUnavailable, Run: refuser.NotRun,
-		Message: "the call cannot be recorded now, so it was not sent", RetryAfter: journalRetryAfter,
+		Message: "the call cannot be recorded now, and is not sent without its record", RetryAfter: journalRetryAfter,
 	}
 }
 
 func inProgress() *refuser.Refusal {
 	return &refuser.Refusal{
 		Status: http.StatusConflict, Code: refuser.CodeInProgress, Run: refuser.Unknown,
-		Message: "a call with this idempotency key is in progress", RetryAfter: shortRetryAfter,
+		Message: "a call under this idempotency key is under way", RetryAfter: shortRetryAfter,
 	}
 }
 
 func outcomeUnknown() *refuser.Refusal {
 	return &refuser.Refusal{
 		Status: http.StatusConflict, Code: refuser.CodeOutcomeUnknown, Run: refuser.Unknown,
-		Message: "a call with this idempotency key was sent and its outcome is unknown", RetryAfter: shortRetryAfter,
+		Message: "a call under this idempotency key was sent and its outcome is not known", RetryAfter: shortRetryAfter,
 	}
 }
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -109,10 +109,10 @@
 	}
 	key, ok := strings.CutPrefix(c.r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
-		return unauthorized("the Authorization header has no bearer key")
+		return unauthorized("the Authorization header holds no bearer key")
 	}
 	if c.team, ok = c.view.Team(identifier.HashKey(key)); !ok {
-		return unauthorized("the key is unknown or has been withdrawn")
+		return unauthorized("the key is not granted")
 	}
 	return nil
 }
--- a/internal/relayer/service.go
+++ b/internal/relayer/service.go
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	if int64(len(body)) > s.Limits.BodyBytes {
-		return nil, fmt.Errorf("%w: body is larger than BodyBytes", ErrInvalidAnswer)
+		return nil, fmt.Errorf("%w: larger than BodyBytes", ErrInvalidAnswer)
 	}
 	return &reply{status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), body: body}, nil
 }
--- a/internal/server/queries.go
+++ b/internal/server/queries.go
@@ -37,7 +37,7 @@
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	lines := s.Explain(identifier.RequestID(r.PathValue("id")))
 	if len(lines) == 0 {
-		refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRequest, Run: refuser.NotRun, Message: "this instance has no decisions for this request"}
+		refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRequest, Run: refuser.NotRun, Message: "this instance keeps no decision for that request"}
 		refusal.Write(w)
 		return
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -51,7 +51,7 @@
 }
 
 func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
-	refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRoute, Run: refuser.NotRun, Message: "unknown operator path " + r.URL.Path}
+	refusal := &refuser.Refusal{Status: http.StatusNotFound, Code: refuser.CodeUnknownRoute, Run: refuser.NotRun, Message: "no operator call " + r.URL.Path}
 	refusal.Write(w)
 }
 
--- a/internal/tailer/tailer.go
+++ b/internal/tailer/tailer.go
@@ -253,7 +253,7 @@
 		t.pending = map[string]*readBack{}
 	}
 	if len(t.pending)+len(records) > maximumPending {
-		return fmt.Errorf("%w: too many appends pending", provider.ErrRefused)
+		return fmt.Errorf("%w: too many appends wait", provider.ErrRefused)
 	}
 	for i, r := range records {
 		waits[i] = &readBack{done: make(chan struct{})}
